--- a/src/bookkeeping/jobs.ts
+++ b/src/bookkeeping/jobs.ts
@@ -1,12 +1,12 @@
 import type { JobSpec } from "../protocol/model.js";
-import { CHUNK, type ChunkRecord, type Head } from "./records.js";
+import { TASKS_PER_CHUNK, type ChunkRecord, type JobHead } from "./records.js";
 import type { Machine } from "./machines.js";
 
 /** One start of one task, from its plan until it is proved gone. It holds place and quota all that time. */
 export interface Attempt {
   job: Job;
   task: number;
-  attempt: number;
+  number: number;
   machine: Machine;
   /** Planned: not yet in the state service, so nothing may be sent. */
   durable: boolean;
@@ -14,7 +14,7 @@
   inherited: boolean;
   /** Highest token that a start of it went out under; -1: not sent by this leader. */
   sentToken: number;
-  sentSession: number;
+  sentEpoch: number;
   sentMs: number;
   /** As last reported; null: never seen. */
   phase: "fetching" | "waiting" | "running" | "saving" | null;
@@ -46,14 +46,14 @@
   readonly chunks = new Map<number, Chunk>();
   readonly attempts = new Set<Attempt>();
   /** Tasks that have to run again, lowest last. */
-  private again: number[] = [];
+  private requeued: number[] = [];
   /** Tasks from here on were never started. */
-  private cursor = 0;
+  private nextUnstarted = 0;
   doneCount = 0;
   /** Null: it is not cancelled. */
   cancelledAt: Date | null;
   /** Steady time of the submission, as near as we know. */
-  readonly bornMs: number;
+  readonly submittedMs: number;
   /** Nothing of it is started before this, after failures. */
   notBeforeMs = 0;
   errors = 0;
@@ -70,10 +70,10 @@
     bornMs: number,
   ) {
     this.cancelledAt = cancelledAt;
-    this.bornMs = bornMs;
+    this.submittedMs = bornMs;
   }
 
-  static fromHead(head: Head, version: number, bornMs: number): Job {
+  static fromHead(head: JobHead, version: number, bornMs: number): Job {
     return new Job(head.spec, head.acceptedAt, version, head.cancelledAt, bornMs);
   }
 
@@ -86,13 +86,13 @@
   }
 
   chunkOf(task: number): Chunk {
-    const index = Math.floor(task / CHUNK);
+    const index = Math.floor(task / TASKS_PER_CHUNK);
     let chunk = this.chunks.get(index);
     if (!chunk) {
       chunk = {
         index,
-        done: new Uint8Array(CHUNK / 8),
-        durableDone: new Uint8Array(CHUNK / 8),
+        done: new Uint8Array(TASKS_PER_CHUNK / 8),
+        durableDone: new Uint8Array(TASKS_PER_CHUNK / 8),
         version: 0,
         dirty: false,
         urgent: false,
@@ -104,37 +104,37 @@
   }
 
   isDone(task: number): boolean {
-    const chunk = this.chunks.get(Math.floor(task / CHUNK));
-    return chunk !== undefined && bit(chunk.done, task % CHUNK);
+    const chunk = this.chunks.get(Math.floor(task / TASKS_PER_CHUNK));
+    return chunk !== undefined && bit(chunk.done, task % TASKS_PER_CHUNK);
   }
 
   isDurablyDone(task: number): boolean {
-    const chunk = this.chunks.get(Math.floor(task / CHUNK));
-    return chunk !== undefined && bit(chunk.durableDone, task % CHUNK);
+    const chunk = this.chunks.get(Math.floor(task / TASKS_PER_CHUNK));
+    return chunk !== undefined && bit(chunk.durableDone, task % TASKS_PER_CHUNK);
   }
 
   attemptOf(task: number): Attempt | undefined {
-    return this.chunks.get(Math.floor(task / CHUNK))?.attempts.get(task);
+    return this.chunks.get(Math.floor(task / TASKS_PER_CHUNK))?.attempts.get(task);
   }
 
   /** False when it was done already. */
   markDone(task: number): boolean {
     if (task < 0 || task >= this.spec.tasks || this.isDone(task)) return false;
     const chunk = this.chunkOf(task);
-    chunk.done[(task % CHUNK) >> 3]! |= 1 << ((task % CHUNK) & 7);
+    chunk.done[(task % TASKS_PER_CHUNK) >> 3]! |= 1 << ((task % TASKS_PER_CHUNK) & 7);
     chunk.dirty = true;
     this.doneCount++;
     return true;
   }
 
-  get allDone(): boolean {
+  get isComplete(): boolean {
     return this.doneCount >= this.spec.tasks;
   }
 
   /** Over, and nothing of it can be anywhere: only then may it be moved to the final jobs. */
-  get over(): boolean {
+  get canFinalize(): boolean {
     // A gang's last members may still hold place and quota when its result is known: they are waited for.
-    return this.attempts.size === 0 && (this.cancelled || this.allDone);
+    return this.attempts.size === 0 && (this.cancelled || this.isComplete);
   }
 
   attach(attempt: Attempt): void {
@@ -153,8 +153,8 @@
   }
 
   requeue(task: number): void {
-    if (task >= this.cursor || this.isDone(task)) return;
-    this.again.push(task);
+    if (task >= this.nextUnstarted || this.isDone(task)) return;
+    this.requeued.push(task);
   }
 
   /** Tasks that wait for a place. */
@@ -165,12 +165,12 @@
 
   /** Takes the next task that has neither result nor attempt. */
   takePending(): number | null {
-    while (this.again.length > 0) {
-      const task = this.again.pop()!;
+    while (this.requeued.length > 0) {
+      const task = this.requeued.pop()!;
       if (!this.isDone(task) && !this.attemptOf(task)) return task;
     }
-    while (this.cursor < this.spec.tasks) {
-      const task = this.cursor++;
+    while (this.nextUnstarted < this.spec.tasks) {
+      const task = this.nextUnstarted++;
       if (!this.isDone(task) && !this.attemptOf(task)) return task;
     }
     return null;
@@ -178,7 +178,7 @@
 
   /** Takes over what the state service holds of a chunk. */
   load(index: number, record: ChunkRecord, version: number): void {
-    const chunk = this.chunkOf(index * CHUNK);
+    const chunk = this.chunkOf(index * TASKS_PER_CHUNK);
     chunk.done.set(record.done);
     chunk.durableDone.set(record.done);
     chunk.version = version;
@@ -199,7 +199,7 @@
     done: chunk.done,
     attempts: [...chunk.attempts.values()].map((attempt) => ({
       task: attempt.task,
-      attempt: attempt.attempt,
+      attempt: attempt.number,
       machine: attempt.machine.name,
       zone: attempt.machine.zone,
     })),
--- a/src/bookkeeping/jobFeed.ts
+++ b/src/bookkeeping/liveJobCache.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "../transport/clock.js";
-import { decodeHead, keys, type Head } from "./records.js";
-import type { StateClient } from "./stateClient.js";
+import { decodeHead, keys, type JobHead } from "./records.js";
+import type { StateStoreClient } from "./stateStoreClient.js";
 
 export interface LiveJob {
-  head: Head;
+  head: JobHead;
   version: number;
 }
 
@@ -15,7 +15,7 @@
  * that began after the last of them came in, so an answer is never older than its question (rules `went_back`,
  * `forgotten`): what has changed since the last read is asked for, without holding, and laid over what is known.
  */
-export class JobFeed {
+export class LiveJobCache {
   private jobs = new Map<string, LiveJob>();
   private revision = -1;
   private reading = false;
@@ -24,21 +24,21 @@
   private waiting: { deadlineMs: number; done: (ok: boolean) => void }[] = [];
 
   constructor(
-    private readonly state: StateClient,
+    private readonly state: StateStoreClient,
     private readonly clock: Clock,
     /** Reads begin no closer together than this, so that all nodes' reads fit the service's limit. */
     private readonly gapMs: number,
   ) {}
 
   /** Resolves true once everything that was committed before this call is known here. */
-  fresh(deadlineMs: number): Promise<boolean> {
+  refresh(deadlineMs: number): Promise<boolean> {
     return new Promise((done) => {
       this.waiting.push({ deadlineMs, done });
       this.plan();
     });
   }
 
-  live(id: string): LiveJob | undefined {
+  liveJob(id: string): LiveJob | undefined {
     return this.jobs.get(id);
   }
 
--- a/src/bookkeeping/machines.ts
+++ b/src/bookkeeping/machines.ts
@@ -1,7 +1,7 @@
-import type { MachineType, ReportedTask } from "../protocol/model.js";
+import type { MachineType, TaskStatus } from "../protocol/model.js";
 import type { Attempt } from "./jobs.js";
 
-export interface Amount {
+export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
@@ -12,50 +12,50 @@
   /** Booting: rented and never heard of. Up: has reported to this leader. Leaving: its deletion is asked for. */
   state: "booting" | "up" | "leaving" = "booting";
   address = "";
-  session = 0;
+  epoch = 0;
   tick = 0;
   /** Highest token its worker says it has seen. */
   seenToken = 0;
   /** The token for the next command; only this leader uses it. */
-  token: number;
+  fencingToken: number;
   /** Highest token under which a start went out to it. */
-  startToken = -1;
+  lastStartToken = -1;
   /** The controller that its reports come through; null: not known. */
-  server: string | null = null;
+  heartbeatServer: string | null = null;
   /** The newest of its reports (its answers to commands count ticks as well). */
-  reportSession = 0;
-  reportTick = 0;
+  heartbeatEpoch = 0;
+  heartbeatTick = 0;
   /**
    * Token that it must show before it gets new work: hearing a machine is no proof that it hears us. A new leader
    * asks for one of its own term, so that a late copy of a report brings back no machine.
    */
-  challenge: number;
-  doubtedMs = -Infinity;
+  requiredToken: number;
+  unreachableSinceMs = -Infinity;
   probedMs = -Infinity;
   /** When we last learned that a report of it was answered, or that it began a session; its lease began no later. */
   lastAckMs = -Infinity;
-  lastHeardMs: number;
+  lastContactMs: number;
   /** When a controller last acknowledged one of its reports: answers to commands renew no lease. */
-  lastReportMs = -Infinity;
+  lastHeartbeatMs = -Infinity;
   /** Steady time at which the cloud takes it, when there is a notice. */
-  takenAtMs: number | null = null;
-  noticeNew = false;
+  interruptionAtMs: number | null = null;
+  interruptionNoticeIsNew = false;
   /** No new work; used when it is faulty or about to be given back. */
   cordoned = false;
   cordonReason = "";
   cordonUntilMs = Infinity;
   idleSinceMs: number | null;
   /** The cloud lists it as running, so it has come up once, though perhaps not for this leader. */
-  listedUp = false;
+  listedAsRunning = false;
   readonly attempts = new Set<Attempt>();
   /** Counts whatever changes its room or its images. */
-  changes = 0;
-  reported: ReportedTask[] = [];
+  revision = 0;
+  reportedTasks: TaskStatus[] = [];
   /** Images it has or is fetching, most recently used last; sizes in GB. */
   readonly images = new Map<string, number>();
   /** Images still on their way, and when they should be there. */
   readonly fetching = new Map<string, { gb: number; tasks: number }>();
-  readonly used: Amount = { cpus: 0, gpus: 0, memoryGb: 0 };
+  readonly used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
   /** Failed starts in a row, by job. */
   failures = new Map<string, number>();
 
@@ -65,28 +65,28 @@
     public zone: string,
     public spot: boolean,
     firstToken: number,
-    public bornMs: number,
+    public createdMs: number,
   ) {
-    this.token = firstToken;
-    this.challenge = firstToken;
-    this.lastHeardMs = bornMs;
-    this.idleSinceMs = bornMs;
+    this.fencingToken = firstToken;
+    this.requiredToken = firstToken;
+    this.lastContactMs = createdMs;
+    this.idleSinceMs = createdMs;
   }
 
   /** It has shown that what we send reaches it. */
-  get hears(): boolean {
-    return this.seenToken >= this.challenge;
+  get isReachable(): boolean {
+    return this.seenToken >= this.requiredToken;
   }
 
   /** What we sent got no answer: it has to show a token that it can only have from us, from now on. */
-  doubt(nowMs: number): void {
-    if (this.hears) this.doubtedMs = nowMs;
-    this.token = Math.max(this.token, this.startToken) + 1;
-    this.challenge = this.token;
+  requireNewToken(nowMs: number): void {
+    if (this.isReachable) this.unreachableSinceMs = nowMs;
+    this.fencingToken = Math.max(this.fencingToken, this.lastStartToken) + 1;
+    this.requiredToken = this.fencingToken;
   }
 
   attach(attempt: Attempt): void {
-    this.changes++;
+    this.revision++;
     this.attempts.add(attempt);
     const spec = attempt.job.spec;
     this.used.cpus += spec.cpus;
@@ -98,7 +98,7 @@
 
   detach(attempt: Attempt, nowMs: number): void {
     if (!this.attempts.delete(attempt)) return;
-    this.changes++;
+    this.revision++;
     const spec = attempt.job.spec;
     this.used.cpus -= spec.cpus;
     this.used.gpus -= spec.gpus;
@@ -134,13 +134,13 @@
   }
 
   imageReady(image: string): void {
-    if (this.fetching.delete(image)) this.changes++;
+    if (this.fetching.delete(image)) this.revision++;
   }
 
   /** No task waits for the image any more: the worker has given the fetch up. */
-  imageGivenUp(image: string): void {
+  imageFetchAbandoned(image: string): void {
     if (this.fetching.delete(image)) this.images.delete(image);
-    this.changes++;
+    this.revision++;
   }
 
   /** A new session has forgotten tasks; images may be gone as well, but mostly aren't. */
--- a/src/bookkeeping/usage.ts
+++ b/src/bookkeeping/quotaUsage.ts
@@ -16,7 +16,7 @@
 }
 
 /** What each team's tasks may be using: everything planned and not yet proved gone (rule `quota`). */
-export class Usage {
+export class QuotaUsage {
   private readonly used = new Map<string, TeamAmount>();
   readonly teams: Map<string, Team>;
 
@@ -47,8 +47,8 @@
   fitting(spec: JobSpec, used: TeamAmount): number {
     const team = this.teams.get(spec.team);
     if (!team) return 0;
-    const cpus = spec.cpus > 0 ? Math.floor((team.cpusMax - used.cpus + SLACK) / spec.cpus) : Infinity;
-    const gpus = spec.gpus > 0 ? Math.floor((team.gpusMax - used.gpus + SLACK) / spec.gpus) : Infinity;
+    const cpus = spec.cpus > 0 ? Math.floor((team.maxCpus - used.cpus + SLACK) / spec.cpus) : Infinity;
+    const gpus = spec.gpus > 0 ? Math.floor((team.maxGpus - used.gpus + SLACK) / spec.gpus) : Infinity;
     return Math.max(0, Math.min(cpus, gpus));
   }
 }
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -14,8 +14,8 @@
  */
 export const keys = {
   term: "lead/term",
-  hold: "lead/hold",
-  lead: "lead/",
+  leader: "lead/hold",
+  leadership: "lead/",
   live: "j/",
   chunks: "c/",
   types: "types",
@@ -26,9 +26,9 @@
 };
 
 /** Tasks in one chunk: their attempts stay below the smallest value limit even when all of them run. */
-export const CHUNK = 256;
+export const TASKS_PER_CHUNK = 256;
 
-export interface Head {
+export interface JobHead {
   spec: JobSpec;
   /** Time of day of the acceptance. */
   acceptedAt: Date;
@@ -36,12 +36,12 @@
   cancelledAt: Date | null;
 }
 
-export function encodeHead(head: Head): unknown {
+export function encodeHead(head: JobHead): unknown {
   const { spec, acceptedAt, cancelledAt } = head;
   return { ...spec, at: acceptedAt.getTime(), x: cancelledAt !== null, xAt: cancelledAt?.getTime() };
 }
 
-export function decodeHead(value: unknown): Head | null {
+export function decodeHead(value: unknown): JobHead | null {
   const o = asObject(value);
   const at = asAmount(o?.at);
   if (!o || at === null || asText(o.id) === null || asCount(o.tasks) === null) return null;
@@ -51,16 +51,16 @@
   return { spec: spec as unknown as JobSpec, acceptedAt: new Date(at), cancelledAt };
 }
 
-export interface Final {
+export interface FinalRecord {
   cancelled: boolean;
   tasks: number;
 }
 
-export function encodeFinal(final: Final): unknown {
+export function encodeFinal(final: FinalRecord): unknown {
   return { x: final.cancelled, n: final.tasks };
 }
 
-export function decodeFinal(value: unknown): Final | null {
+export function decodeFinal(value: unknown): FinalRecord | null {
   const o = asObject(value);
   const tasks = asCount(o?.n);
   return o && tasks !== null ? { cancelled: o.x === true, tasks } : null;
@@ -93,7 +93,7 @@
   const machines = asList(o?.m);
   const list = asList(o?.a);
   if (!o || !machines || !list || typeof o.d !== "string") return null;
-  const done = new Uint8Array(CHUNK / 8);
+  const done = new Uint8Array(TASKS_PER_CHUNK / 8);
   done.set(Buffer.from(o.d, "base64").subarray(0, done.length));
   const attempts = [];
   for (const entry of list) {
--- a/src/bookkeeping/stateClient.ts
+++ b/src/bookkeeping/stateStoreClient.ts
@@ -3,23 +3,23 @@
 import type { HttpCaller, Reply } from "../transport/httpClient.js";
 import {
   decodeEvents,
-  decodeFailed,
+  decodeFailedKeys,
   decodeItem,
   decodeLease,
   decodePage,
   decodeRevision,
-  encodeCommit,
+  encodeCompareAndSwap,
   encodeLease,
   statePaths,
   type Change,
-  type Event,
-  type Guard,
+  type ChangeEvent,
+  type VersionCondition,
   type Item,
-} from "../protocol/state.js";
+} from "../protocol/stateStore.js";
 
-export type { Change, Event, Guard, Item };
+export type { Change, ChangeEvent as Event, VersionCondition as Guard, Item };
 
-export type CommitOutcome =
+export type CompareAndSwapOutcome =
   | { kind: "ok"; revision: number }
   | { kind: "conflict"; failed: string[] }
   /** Certainly not executed. */
@@ -31,12 +31,12 @@
 export type ReadOutcome = { kind: "found"; item: Item } | { kind: "absent" } | { kind: "failed" };
 export type ListOutcome = { kind: "ok"; items: Item[]; revision: number } | { kind: "failed" };
 export type WatchOutcome =
-  { kind: "ok"; revision: number; events: Event[] } | { kind: "too old" } | { kind: "failed" };
+  { kind: "ok"; revision: number; events: ChangeEvent[] } | { kind: "too old" } | { kind: "failed" };
 
 const PAGE = 500;
 
 /** One node's way to the state service, within its share of the service's limits. */
-export class StateClient {
+export class StateStoreClient {
   private readonly requests: TokenBucket;
   private readonly writes: TokenBucket;
   /** When the last request that was served had been sent; the start of a proof that we are served. */
@@ -91,7 +91,11 @@
     }
   }
 
-  async commit(guards: Guard[], changes: Change[], deadlineMs: number): Promise<CommitOutcome> {
+  async compareAndSwap(
+    guards: VersionCondition[],
+    changes: Change[],
+    deadlineMs: number,
+  ): Promise<CompareAndSwapOutcome> {
     const now = this.clock.nowMs();
     if (now + this.writes.waitMs(changes.length, now) > deadlineMs) return { kind: "refused" };
     const wait = this.writes.reserve(changes.length, now);
@@ -99,8 +103,8 @@
     let lost = false;
     const reply = await this.send(
       "POST",
-      statePaths.commit,
-      encodeCommit(guards, changes),
+      statePaths.compareAndSwap,
+      encodeCompareAndSwap(guards, changes),
       deadlineMs,
       () => {
         lost = true;
@@ -111,7 +115,7 @@
       const revision = decodeRevision(reply.body);
       return revision === null ? { kind: "unknown" } : { kind: "ok", revision };
     }
-    if (reply.status === 409) return { kind: "conflict", failed: decodeFailed(reply.body) };
+    if (reply.status === 409) return { kind: "conflict", failed: decodeFailedKeys(reply.body) };
     if (reply.status === 400) return { kind: "no lease" };
     return { kind: "refused" };
   }
--- a/src/bookkeeping/ledger.ts
+++ b/src/bookkeeping/transaction.ts
@@ -1,9 +1,9 @@
-import type { Change, Guard } from "../protocol/state.js";
+import type { Change, VersionCondition } from "../protocol/stateStore.js";
 import type { Attempt, Chunk, Job } from "./jobs.js";
 import { chunkRecord } from "./jobs.js";
 import { encodeChunk, encodeFinal, keys } from "./records.js";
 
-export interface Part {
+export interface TransactionPart {
   job: Job;
   /** Null: the job's move to the final jobs. */
   chunk: Chunk | null;
@@ -13,19 +13,19 @@
 }
 
 export interface Transaction {
-  guards: Guard[];
+  guards: VersionCondition[];
   changes: Change[];
-  parts: Part[];
+  parts: TransactionPart[];
   garbage: string[];
   /** Set when a round's moves, or the machine types, go along. */
   moves?: unknown;
   types?: boolean;
 }
 
-export interface LedgerLimits {
+export interface TransactionLimits {
   changes: number;
   /** Of these, for results that can wait. */
-  lazy: number;
+  deferredChanges: number;
   bytes: number;
 }
 
@@ -43,7 +43,7 @@
   jobs: Iterable<Job>,
   garbage: Garbage,
   termVersion: number,
-  limits: LedgerLimits,
+  limits: TransactionLimits,
 ): Transaction {
   const transaction: Transaction = {
     guards: [{ key: keys.term, version: termVersion }],
@@ -75,7 +75,7 @@
   const finals: Job[] = [];
   const lazy: [Job, Chunk][] = [];
   for (const job of jobs) {
-    if (job.over) {
+    if (job.canFinalize) {
       finals.push(job);
       continue;
     }
@@ -106,7 +106,7 @@
     transaction.parts.push({ job, chunk: null, attempts: [], done: null });
     bytes += 400 + now.length * 120;
   }
-  for (const [job, chunk] of lazy.slice(0, limits.lazy)) if (!addChunk(job, chunk)) break;
+  for (const [job, chunk] of lazy.slice(0, limits.deferredChanges)) if (!addChunk(job, chunk)) break;
   for (const [key, version] of garbage) {
     if (transaction.changes.length >= Math.max(1, limits.changes >> 1) || !fits(1, 120)) break;
     transaction.guards.push({ key, version });
--- a/src/service.ts
+++ b/src/controller/controller.ts
@@ -1,29 +1,29 @@
 import type { Server } from "node:http";
-import { keys } from "./bookkeeping/records.js";
-import { JobFeed } from "./bookkeeping/jobFeed.js";
-import { StateClient } from "./bookkeeping/stateClient.js";
-import { Admission } from "./coordination/admission/admission.js";
-import { RequestLimiter } from "./coordination/admission/requestLimiter.js";
-import { CloudClient } from "./coordination/provisioning/cloudClient.js";
-import { Leader } from "./coordination/leadership/leader.js";
-import { CommandSender } from "./coordination/commands/commandSender.js";
-import { CommandRouter } from "./coordination/commands/commandRouter.js";
-import { Elector } from "./coordination/leadership/election.js";
-import { ReportServer } from "./coordination/reports/reportServer.js";
-import { parseJson } from "./protocol/checks.js";
-import { decodeTypes } from "./protocol/cloud.js";
-import { decodePeer, encodePeer, PEER_VERSION, type PeerMessage } from "./protocol/peers.js";
-import { route } from "./protocol/users.js";
-import { decodeReport } from "./protocol/workers.js";
-import type { Operator } from "./settings/operator.js";
-import type { Platform } from "./settings/platform.js";
-import type { Clock } from "./transport/clock.js";
-import type { HttpCaller } from "./transport/httpClient.js";
-import { HttpClient } from "./transport/httpClient.js";
-import { startHttpServer, type Answer, type Incoming } from "./transport/httpServer.js";
-import { EventLoopLagMeter } from "./transport/eventLoopLag.js";
-import { log } from "./transport/log.js";
-import { PeerLinks, type PeerPort } from "./transport/peerLink.js";
+import { keys } from "../bookkeeping/records.js";
+import { LiveJobCache } from "../bookkeeping/liveJobCache.js";
+import { StateStoreClient } from "../bookkeeping/stateStoreClient.js";
+import { Admission } from "../coordination/admission/admission.js";
+import { RequestLimiter } from "../coordination/admission/requestLimiter.js";
+import { CloudClient } from "../coordination/provisioning/cloudClient.js";
+import { Leader } from "../coordination/leadership/leader.js";
+import { CommandSender } from "../coordination/commands/commandSender.js";
+import { CommandRouter } from "../coordination/commands/commandRouter.js";
+import { Elector } from "../coordination/leadership/election.js";
+import { HeartbeatServer } from "../coordination/heartbeats/heartbeatServer.js";
+import { parseJson } from "../protocol/checks.js";
+import { decodeMachineTypes } from "../protocol/cloud.js";
+import { decodePeer, encodePeer, PEER_VERSION, type PeerMessage } from "../protocol/peers.js";
+import { route } from "../protocol/users.js";
+import { decodeHeartbeat } from "../protocol/workers.js";
+import type { Operator } from "../settings/operator.js";
+import type { Platform } from "../settings/platform.js";
+import type { Clock } from "../transport/clock.js";
+import type { HttpCaller } from "../transport/httpClient.js";
+import { HttpClient } from "../transport/httpClient.js";
+import { startHttpServer, type Answer, type Incoming } from "../transport/httpServer.js";
+import { EventLoopLagMeter } from "../transport/eventLoopLag.js";
+import { log } from "../transport/log.js";
+import { PeerLinks, type PeerPort } from "../transport/peerLink.js";
 
 const MAX_BODY = 64 * 1024;
 /** A leadership lease shorter than this would be lost to a slow answer now and then. */
@@ -38,67 +38,67 @@
 const ALONE_MS = 4000;
 const FRESH_MS = 1200;
 
-export interface Outside {
+export interface Environment {
   clock: Clock;
   state: HttpCaller;
   cloud: HttpCaller;
   workers: HttpCaller;
   peers: PeerPort;
   /** Different in each process. */
-  life: string;
+  incarnation: string;
   random: () => number;
 }
 
 /** One controller: the actors, wired to each other and to whatever stands for the outside. */
 export class Controller {
-  readonly state: StateClient;
+  readonly state: StateStoreClient;
   readonly elector: Elector;
   readonly leader: Leader;
   readonly admission: Admission;
   private readonly cloud: CloudClient;
-  private readonly reportServer: ReportServer;
-  private readonly dispatch: CommandRouter;
+  private readonly reportServer: HeartbeatServer;
+  private readonly commandRouter: CommandRouter;
   private readonly lag: EventLoopLagMeter;
   private typesKnown = false;
   private readonly limiter: RequestLimiter;
   private leaderServedMs = -Infinity;
   private stopped = false;
   /** Resolves once reports may be acknowledged here. */
-  private readonly firstRight: Promise<void>;
+  private readonly firstGrant: Promise<void>;
 
   constructor(
     private readonly platform: Platform,
     operator: Operator,
-    private readonly out: Outside,
+    private readonly out: Environment,
   ) {
     const { clock } = out;
     const send = (peer: string, message: PeerMessage): boolean => out.peers.send(peer, encodePeer(message));
-    this.state = new StateClient(out.state, clock, platform.state, {
-      rps: platform.stateRps,
-      writeRps: platform.stateWriteRps,
-      nodes: platform.size,
+    this.state = new StateStoreClient(out.state, clock, platform.stateStoreAddress, {
+      rps: platform.stateStoreRps,
+      writeRps: platform.stateStoreWriteRps,
+      nodes: platform.clusterSize,
     });
     this.lag = new EventLoopLagMeter(clock);
     this.limiter = new RequestLimiter(() => this.lag.lagMs, out.random);
     // All nodes' reads for questions together take less than half of what the service serves; and nobody minds a
     // question answered a moment later, while each read costs this node as much as several answers.
-    const feed = new JobFeed(
+    const liveJobs = new LiveJobCache(
       this.state,
       clock,
-      Math.max(READ_EVERY_MS, (1000 * platform.size) / (platform.stateRps * 0.45)),
+      Math.max(READ_EVERY_MS, (1000 * platform.clusterSize) / (platform.stateStoreRps * 0.45)),
     );
     this.admission = new Admission({
       state: this.state,
-      feed,
+      liveJobs,
       clock,
       teams: platform.teams,
-      valueBytes: platform.stateValueKb * 1024,
-      onCancelTold: (id, at) => this.reportServer.tell({ kind: "cancellation confirmed", id, at }),
+      valueBytes: platform.stateStoreValueKb * 1024,
+      onCancellationConfirmed: (id, at) => this.reportServer.tell({ kind: "cancellation confirmed", id, at }),
     });
-    this.cloud = new CloudClient(out.cloud, clock, platform.cloud, platform.cloudRps, (news) =>
-      this.leader.tell({ kind: "cloud", news }),
+    this.cloud = new CloudClient(out.cloud, clock, platform.cloudAddress, platform.cloudRps, (event) =>
+      this.leader.tell({ kind: "cloud", event }),
     );
-    this.dispatch = new CommandRouter(
+    this.commandRouter = new CommandRouter(
       platform.node,
       clock,
       new CommandSender(out.workers, DIRECT_MS),
@@ -113,14 +113,14 @@
       state: this.state,
       clock,
       cloud: this.cloud,
-      deliver: (term, via, delivery) => this.dispatch.deliver(term, via, delivery),
+      deliver: (term, via, delivery) => this.commandRouter.deliver(term, via, delivery),
       sendGrant: send,
       onServers: (servers) => this.reportServer.tell({ kind: "servers", servers }),
       onLimits: (limits) => this.reportServer.tell({ kind: "limits", limits }),
       workerCount: () => this.reportServer.workerCount,
       lagMs,
       onDeposed: (term) => this.elector.tell({ kind: "deposed", term }),
-      onBehind: (term) => this.elector.tell({ kind: "behind", term }),
+      onLagging: (term) => this.elector.tell({ kind: "lagging", term }),
       onTypes: (types) => {
         this.typesKnown = true;
         this.admission.tell({ kind: "types", types });
@@ -130,26 +130,26 @@
         for (const peer of others) send(peer, { kind: "task counts", from: platform.node, term, jobs });
       },
     });
-    let onFirstRight = (): void => undefined;
-    this.firstRight = new Promise((resolve) => (onFirstRight = resolve));
-    this.reportServer = new ReportServer({
+    let onFirstGrant = (): void => undefined;
+    this.firstGrant = new Promise((resolve) => (onFirstGrant = resolve));
+    this.reportServer = new HeartbeatServer({
       node: platform.node,
       zone: platform.zone,
       zones: controllerZones(platform),
-      life: Math.floor(out.random() * 2 ** 47),
+      incarnation: Math.floor(out.random() * 2 ** 47),
       clock,
-      reportS: platform.reportS,
+      heartbeatS: platform.heartbeatS,
       keepCancellationsMs: (platform.cancelS + platform.leaseS + 10) * 1000,
       toLeader: send,
       toNeighbour: send,
-      toLeaderHere: (serving) => this.leader.tell({ kind: "report server update", serving }),
-      onFirstRight,
+      toLocalLeader: (update) => this.leader.tell({ kind: "heartbeat server update", update }),
+      onFirstGrant,
       onLaterTerm: (term) => this.elector.tell({ kind: "deposed", term }),
       lagMs,
     });
     this.elector = new Elector({
       node: platform.node,
-      life: out.life,
+      incarnation: out.incarnation,
       peers: others,
       state: this.state,
       clock,
@@ -157,10 +157,10 @@
       random: out.random,
       leaseMs: LEADERSHIP_LEASE_MS,
       probeMs: PROBE_MS,
-      onNews: (news) => {
+      onLeadershipChange: (change) => {
         // The leader first: the report server tells it of its workers at once.
-        this.leader.tell({ kind: "election", news });
-        this.reportServer.tell({ kind: "election", news });
+        this.leader.tell({ kind: "election", change });
+        this.reportServer.tell({ kind: "election", change });
       },
     });
   }
@@ -170,7 +170,7 @@
     this.elector.start();
     this.leader.start();
     this.reportServer.start();
-    this.learnTypes(0);
+    this.fetchMachineTypes(0);
   }
 
   stop(): void {
@@ -186,7 +186,7 @@
   mayServe(withinMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.out.clock.after(withinMs, resolve);
-      void this.firstRight.then(() => {
+      void this.firstGrant.then(() => {
         timer.cancel();
         resolve();
       });
@@ -194,13 +194,13 @@
   }
 
   /** A node that doesn't lead learns the machine types from the state service, where a leader put them. */
-  private learnTypes(round: number): void {
+  private fetchMachineTypes(round: number): void {
     if (this.typesKnown || this.stopped) return;
     void this.state.get(keys.types, this.out.clock.nowMs() + 2000).then((got) => {
-      const types = got.kind === "found" ? decodeTypes(got.item.value) : null;
+      const types = got.kind === "found" ? decodeMachineTypes(got.item.value) : null;
       if (types && types.length > 0)
-        this.leader.tell({ kind: "cloud", news: { kind: "types", types, stored: true } });
-      else this.out.clock.after(Math.min(1000, 200 + round * 100), () => this.learnTypes(round + 1));
+        this.leader.tell({ kind: "cloud", event: { kind: "types", types, stored: true } });
+      else this.out.clock.after(Math.min(1000, 200 + round * 100), () => this.fetchMachineTypes(round + 1));
     });
   }
 
@@ -231,18 +231,18 @@
       case "task counts":
         this.admission.tell({ kind: "task counts", jobs: message.jobs });
         break;
-      case "report server update":
-        this.leader.tell({ kind: "report server update", serving: message });
+      case "heartbeat server update":
+        this.leader.tell({ kind: "heartbeat server update", update: message });
         break;
       case "grant":
-        if (message.stateServed) this.leaderServedMs = this.out.clock.nowMs();
+        if (message.stateStoreReachable) this.leaderServedMs = this.out.clock.nowMs();
         this.reportServer.tell({ kind: "grant", grant: message });
         break;
       case "isolated":
         this.reportServer.tell({ kind: "isolated", from: message.from, term: message.term });
         break;
       case "deliveries":
-        this.dispatch.deliverFor(message.from, message.term, message.deliveries);
+        this.commandRouter.deliverFor(message.from, message.term, message.deliveries);
         break;
       case "delivery results":
         for (const result of message.results)
@@ -256,7 +256,7 @@
   /** A link to a peer has closed and its host refuses a new one; so many links to other peers stand. */
   onPeerRefused(peer: string, standing: number): void {
     const othersReachable = standing > 0 || this.platform.peers.length === 1;
-    this.elector.tell({ kind: "refused", peer, othersReachable });
+    this.elector.tell({ kind: "peer refused", peer, othersReachable });
   }
 
   /**
@@ -275,12 +275,12 @@
     const call = route(request.method, request.path);
     switch (call.call) {
       case "report": {
-        const report = decodeReport(parseJson(request.body));
-        if (!report) {
+        const heartbeat = decodeHeartbeat(parseJson(request.body));
+        if (!heartbeat) {
           reply({ status: 400, body: { error: "not a report" } });
           return;
         }
-        this.reportServer.tell({ kind: "report", report, reply });
+        this.reportServer.tell({ kind: "heartbeat", heartbeat, reply });
         return;
       }
       case "ready":
@@ -355,7 +355,7 @@
     cloud: cloudHttp,
     workers: workerHttp,
     peers: links,
-    life: processIdentity(Math.random),
+    incarnation: processIdentity(Math.random),
     random: Math.random,
   });
   await links.start();
--- a/src/coordination/admission/admission.ts
+++ b/src/coordination/admission/admission.ts
@@ -1,8 +1,8 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import { asCount } from "../../protocol/checks.js";
-import type { JobFeed } from "../../bookkeeping/jobFeed.js";
-import { decodeFinal, encodeHead, keys, type Final, type Head } from "../../bookkeeping/records.js";
-import type { StateClient } from "../../bookkeeping/stateClient.js";
+import type { LiveJobCache } from "../../bookkeeping/liveJobCache.js";
+import { decodeFinal, encodeHead, keys, type FinalRecord, type JobHead } from "../../bookkeeping/records.js";
+import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import {
   decodeSubmission,
   encodeAccepted,
@@ -26,20 +26,20 @@
   | { kind: "task counts"; jobs: { id: string; done: number; running: number }[] };
 
 export interface AdmissionOptions {
-  state: StateClient;
+  state: StateStoreClient;
   clock: Clock;
   teams: Team[];
   valueBytes: number;
-  feed: JobFeed;
+  liveJobs: LiveJobCache;
   /**
    * Called before a user is told that a job is cancelled whose tasks may still be somewhere: the leader has to know of
    * it (rule `ran_cancelled`). Of a job that is over nothing can be anywhere, so nobody need know.
    */
-  onCancelTold: (id: string, cancelledAt: Date) => void;
+  onCancellationConfirmed: (id: string, cancelledAt: Date) => void;
 }
 
 /** Whether a job could ever run; null when it can. Pure. */
-export function neverRuns(spec: JobSpec, types: MachineType[], teams: Team[]): string | null {
+export function rejectionReason(spec: JobSpec, types: MachineType[], teams: Team[]): string | null {
   const team = teams.find((t) => t.name === spec.team);
   if (!team) return `unknown team ${spec.team}`;
   const fitting = types.filter(
@@ -58,8 +58,8 @@
     if (spec.oneZone || zones.size < 2) return "its tasks must run in different zones, and may not";
   }
   const slack = 1e-6;
-  if (spec.cpus * atOnce > team.cpusMax + slack) return `needs more cpus than ${team.name} may use`;
-  if (spec.gpus * atOnce > team.gpusMax + slack) return `needs more gpus than ${team.name} may use`;
+  if (spec.cpus * atOnce > team.maxCpus + slack) return `needs more cpus than ${team.name} may use`;
+  if (spec.gpus * atOnce > team.maxGpus + slack) return `needs more gpus than ${team.name} may use`;
   return null;
 }
 
@@ -76,7 +76,7 @@
  */
 export class Admission extends Actor<Message> {
   private types: MachineType[] | null = null;
-  private readonly finals = new Map<string, Final>();
+  private readonly finals = new Map<string, FinalRecord>();
   /** For display only. */
   private readonly counts = new Map<string, { done: number; running: number }>();
 
@@ -137,8 +137,8 @@
       if (known !== "absent" && known !== "failed") return this.knownAnswer(spec.id, known);
       return this.later("machine types are not known yet");
     }
-    const never = neverRuns(spec, this.types, this.options.teams);
-    const head: Head = { spec, acceptedAt: this.options.clock.today(), cancelledAt: null };
+    const never = rejectionReason(spec, this.types, this.options.teams);
+    const head: JobHead = { spec, acceptedAt: this.options.clock.today(), cancelledAt: null };
     const record = encodeHead(head);
     const tooBig = Buffer.byteLength(JSON.stringify(record)) > this.options.valueBytes;
     if (never !== null || tooBig) {
@@ -150,7 +150,7 @@
         ? { status: 422, body: { error: never } }
         : { status: 400, body: { error: "the description is too long to be kept" } };
     }
-    const outcome = await this.options.state.commit(
+    const outcome = await this.options.state.compareAndSwap(
       [
         { key: keys.head(spec.id), version: 0 },
         { key: keys.final(spec.id), version: 0 },
@@ -168,15 +168,15 @@
     return this.knownAnswer(spec.id, known);
   }
 
-  private knownAnswer(id: string, known: { head: Head } | { final: Final }): Answer {
+  private knownAnswer(id: string, known: { head: JobHead } | { final: FinalRecord }): Answer {
     if ("final" in known) return { status: 200, body: encodeAccepted(id, phaseOf(known.final)) };
     return { status: 200, body: encodeAccepted(id, this.headPhase(known.head)) };
   }
 
-  private headPhase(head: Head): JobPhase {
+  private headPhase(head: JobHead): JobPhase {
     const { id } = head.spec;
     if (head.cancelledAt === null) return this.livePhase(id);
-    this.options.onCancelTold(id, head.cancelledAt);
+    this.options.onCancellationConfirmed(id, head.cancelledAt);
     return "cancelled";
   }
 
@@ -191,11 +191,11 @@
   private async lookUp(
     id: string,
     deadlineMs: number,
-  ): Promise<{ head: Head; version: number } | { final: Final } | "absent" | "failed"> {
+  ): Promise<{ head: JobHead; version: number } | { final: FinalRecord } | "absent" | "failed"> {
     const remembered = this.finals.get(id);
     if (remembered) return { final: remembered };
-    if (!(await this.options.feed.fresh(deadlineMs))) return "failed";
-    const live = this.options.feed.live(id);
+    if (!(await this.options.liveJobs.refresh(deadlineMs))) return "failed";
+    const live = this.options.liveJobs.liveJob(id);
     if (live) return live;
     const over = await this.options.state.get(keys.final(id), deadlineMs);
     if (over.kind === "failed") return "failed";
@@ -238,8 +238,8 @@
       if (known === "absent") return { status: 404, body: { error: "no such job" } };
       if ("final" in known) return { status: 200, body: encodeAccepted(id, phaseOf(known.final)) };
       if (known.head.cancelledAt !== null) return this.knownAnswer(id, known);
-      const head: Head = { ...known.head, cancelledAt: this.options.clock.today() };
-      const outcome = await this.options.state.commit(
+      const head: JobHead = { ...known.head, cancelledAt: this.options.clock.today() };
+      const outcome = await this.options.state.compareAndSwap(
         [{ key: keys.head(id), version: known.version }],
         [{ put: keys.head(id), value: encodeHead(head) }],
         deadline,
@@ -252,6 +252,6 @@
   }
 }
 
-function phaseOf(final: Final): JobPhase {
+function phaseOf(final: FinalRecord): JobPhase {
   return final.cancelled ? "cancelled" : "done";
 }
--- a/src/coordination/commands/commandBatch.ts
+++ b/src/coordination/commands/commandBatch.ts
@@ -20,17 +20,17 @@
  */
 export function composeCommandBatch(
   machine: Machine,
-  jobs: Map<string, Job>,
+  jobs: ReadonlyMap<string, Job>,
   nowMs: number,
   options: { starts: boolean; raise: boolean },
 ): CommandBatch {
   const commands: Command[] = [];
   let reaps = false;
-  for (const t of machine.reported) {
+  for (const t of machine.reportedTasks) {
     const { jobId, task, attempt } = t;
     const job = jobs.get(jobId);
     const a = job?.attemptOf(task);
-    const ours = a !== undefined && a.attempt === attempt && a.machine === machine;
+    const ours = a !== undefined && a.number === attempt && a.machine === machine;
     if (ours) continue;
     if (t.phase !== "exited") {
       // Nobody's: its job is over, or another attempt has taken its place.
@@ -47,23 +47,22 @@
       if (a.stop.sent && nowMs - a.stop.lastSentMs < REPEAT_STOP_MS) continue;
       a.stop.sent = true;
       a.stop.lastSentMs = nowMs;
-      commands.push({ op: "stop", jobId: a.job.id, task: a.task, attempt: a.attempt, graceS: a.stop.graceS });
+      commands.push({ op: "stop", jobId: a.job.id, task: a.task, attempt: a.number, graceS: a.stop.graceS });
     }
   }
-  if (options.raise || (reaps && machine.startToken >= machine.token))
-    machine.token = Math.max(machine.token, machine.startToken) + 1;
+  if (options.raise || (reaps && machine.lastStartToken >= machine.fencingToken))
+    machine.fencingToken = Math.max(machine.fencingToken, machine.lastStartToken) + 1;
   if (options.starts) {
     for (const a of machine.attempts) {
       // Intent before command: only what is durable is sent.
       if (!a.durable || a.stop || a.phase !== null || a.inherited) continue;
-      if (a.sentToken >= 0 && (a.sentSession !== machine.session || nowMs - a.sentMs < REPEAT_START_MS))
-        continue;
-      a.sentToken = machine.token;
-      a.sentSession = machine.session;
+      if (a.sentToken >= 0 && (a.sentEpoch !== machine.epoch || nowMs - a.sentMs < REPEAT_START_MS)) continue;
+      a.sentToken = machine.fencingToken;
+      a.sentEpoch = machine.epoch;
       a.sentMs = nowMs;
-      machine.startToken = machine.token;
-      commands.push({ op: "start", jobId: a.job.id, task: a.task, attempt: a.attempt });
+      machine.lastStartToken = machine.fencingToken;
+      commands.push({ op: "start", jobId: a.job.id, task: a.task, attempt: a.number });
     }
   }
-  return { token: machine.token, commands };
+  return { token: machine.fencingToken, commands };
 }
--- a/src/coordination/commands/commandSender.ts
+++ b/src/coordination/commands/commandSender.ts
@@ -1,5 +1,5 @@
 import type { CommandDelivery, DeliveryResult } from "../../protocol/model.js";
-import { decodeReport, DIRECT_PATH, encodeDirect } from "../../protocol/workers.js";
+import { decodeHeartbeat, DIRECT_COMMANDS_PATH, encodeDirectCommands } from "../../protocol/workers.js";
 import type { HttpCaller } from "../../transport/httpClient.js";
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
@@ -31,26 +31,30 @@
       return;
     }
     const { delivery, back } = message;
-    const { machine, token } = delivery;
+    const { machine, fencingToken } = delivery;
     if (this.busy.has(machine)) {
       // The sender keeps to one delivery a machine; a second one was never sent.
-      back({ machine, token, status: null, neverSent: true, report: null });
+      back({ machine, fencingToken: fencingToken, status: null, neverSent: true, heartbeat: null });
       return;
     }
     this.busy.add(machine);
-    const body = encodeDirect(token, delivery.session, delivery.commands);
-    this.http.call(delivery.address, "POST", DIRECT_PATH, body, this.timeoutMs).then(
+    const body = encodeDirectCommands(fencingToken, delivery.epoch, delivery.commands);
+    this.http.call(delivery.address, "POST", DIRECT_COMMANDS_PATH, body, this.timeoutMs).then(
       (reply) => {
-        const report = decodeReport(reply.body);
+        const heartbeat = decodeHeartbeat(reply.body);
         this.tell({
           kind: "back",
           back,
-          result: { machine, token, status: reply.status, neverSent: false, report },
+          result: { machine, fencingToken: fencingToken, status: reply.status, neverSent: false, heartbeat },
         });
       },
       (error: { neverSent?: boolean }) => {
         const neverSent = error.neverSent === true;
-        this.tell({ kind: "back", back, result: { machine, token, status: null, neverSent, report: null } });
+        this.tell({
+          kind: "back",
+          back,
+          result: { machine, fencingToken: fencingToken, status: null, neverSent, heartbeat: null },
+        });
       },
     );
   }
--- a/src/coordination/magnet/rounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -1,44 +1,65 @@
 import type { Attempt } from "../../bookkeeping/jobs.js";
 import { log } from "../../transport/log.js";
-import type { LeaderOptions } from "../leadership/leader.js";
-import type { LeaderTerm } from "../leadership/leaderTerm.js";
+import type { Operator } from "../../settings/operator.js";
+import type { Clock } from "../../transport/clock.js";
+import type { Attempts } from "../term/attempts.js";
+import type { JobRegistry } from "../term/jobRegistry.js";
+import type { MachineRegistry } from "../term/machineRegistry.js";
+import type { TermLease } from "../term/termLease.js";
+import type { WriteRequests } from "../term/writeQueue.js";
 import { allows, zoneRoom } from "../scheduling/views.js";
 import { release, type MeasuredMachine } from "./release.js";
 import { loadOf, ringOf } from "./rings.js";
 import { squeeze, type LoadedTask, type Move } from "./squeeze.js";
 
-/** Owns the magnet's rounds: their moves from the decision, through the write, to the stops. */
-export class Rounds {
-  moves: Move[] | null = null;
-  private movesRefs = new Map<number, Attempt>();
+/** What the rounds use of the term. */
+export interface ConsolidationRoundsContext {
+  clock: Clock;
+  lease: TermLease;
+  jobs: JobRegistry;
+  machines: MachineRegistry;
+  attempts: Attempts;
+  writes: WriteRequests;
+  operator: Operator;
+  /** Workers' time between heartbeats, in seconds. */
+  heartbeatS: number;
+}
+
+/** Owns the rounds of consolidation: their moves from the decision, through the write, to the stops. */
+export class ConsolidationRounds {
+  plannedMoves: Move[] | null = null;
+  private attemptsToMove = new Map<number, Attempt>();
   lastRoundMs: number;
-  readonly prefer = new Map<string, { machine: string; untilMs: number }>();
+  readonly preferredMachines = new Map<string, { machine: string; untilMs: number }>();
+
+  constructor(private readonly context: ConsolidationRoundsContext) {
+    this.lastRoundMs = context.clock.nowMs();
+  }
 
-  constructor(
-    private readonly leaderTerm: LeaderTerm,
-    private readonly options: LeaderOptions,
-  ) {
-    this.lastRoundMs = options.clock.nowMs();
+  /** The job is over: no move of it is wanted any longer. */
+  forgetJob(id: string): void {
+    this.preferredMachines.delete(id);
   }
 
-  round(now: number): void {
+  runRound(now: number): void {
     this.lastRoundMs = now;
-    if (this.moves || now - this.leaderTerm.startedMs < 2 * this.options.platform.reportS * 1000) return;
-    const { degrad, violate, moveCap, elapseS } = this.options.operator;
+    if (this.plannedMoves || now - this.context.lease.startedMs < 2 * this.context.heartbeatS * 1000) return;
+    const { degrad, violate, moveCap, elapseS } = this.context.operator;
     const refs: Attempt[] = [];
     const machines: MeasuredMachine[] = [];
-    for (const machine of this.leaderTerm.machines.values()) {
+    for (const machine of this.context.machines.values()) {
       if (machine.state !== "up" || !machine.type) continue;
       const requested = loadOf(machine.used, machine.type);
       // Most machines are in the inner rings and use what they were asked to: neither squeeze nor release looks there.
-      if (ringOf(requested, degrad) !== "outer" && machine.reported.length <= machine.attempts.size) continue;
+      if (ringOf(requested, degrad) !== "outer" && machine.reportedTasks.length <= machine.attempts.size)
+        continue;
       // A late report would move tasks that have already left.
-      const fresh = now - machine.lastHeardMs < this.options.platform.reportS * 1500;
+      const fresh = now - machine.lastContactMs < this.context.heartbeatS * 1500;
       const tasks: LoadedTask[] = [];
       let whole = fresh;
       const measuredUse = { cpus: 0, gpus: 0, memoryGb: 0 };
-      for (const task of machine.reported) {
-        const spec = this.leaderTerm.jobs.get(task.jobId)?.spec;
+      for (const task of machine.reportedTasks) {
+        const spec = this.context.jobs.get(task.jobId)?.spec;
         if (task.phase === "exited" || !spec) continue;
         measuredUse.cpus += spec.cpus;
         measuredUse.gpus += spec.gpus;
@@ -71,7 +92,7 @@
         name: machine.name,
         total: machine.type,
         tasks,
-        open: whole && !machine.cordoned && machine.takenAtMs === null,
+        open: whole && !machine.cordoned && machine.interruptionAtMs === null,
         measured: loadOf(measuredUse, machine.type),
         requested,
       });
@@ -81,13 +102,13 @@
       moves.push(...release(machines, { degrad, violate, moveCap: moveCap - moves.length }));
     }
     if (moves.length === 0) return;
-    this.moves = moves;
-    this.movesRefs = new Map(moves.map((mv) => [mv.ref, refs[mv.ref]!]));
-    this.leaderTerm.recordStore.requestWrite(0);
+    this.plannedMoves = moves;
+    this.attemptsToMove = new Map(moves.map((mv) => [mv.ref, refs[mv.ref]!]));
+    this.context.writes.requestWrite(0);
   }
 
   private mayMove(attempt: Attempt, name: string): boolean {
-    const machine = this.leaderTerm.machines.get(name);
+    const machine = this.context.machines.get(name);
     const { spec } = attempt.job;
     if (!machine?.type || machine.cordoned || !allows(spec, machine.type.name, machine.zone, machine.spot))
       return false;
@@ -99,17 +120,17 @@
 
   /** The round's moves are durable: now they begin, each as a stop here and a start there. */
   beginMoves(): void {
-    const moves = this.moves ?? [];
-    this.moves = null;
-    const now = this.options.clock.nowMs();
+    const moves = this.plannedMoves ?? [];
+    this.plannedMoves = null;
+    const now = this.context.clock.nowMs();
     for (const mv of moves) {
-      const attempt = this.movesRefs.get(mv.ref);
+      const attempt = this.attemptsToMove.get(mv.ref);
       if (!attempt || attempt.stop || !attempt.machine.attempts.has(attempt)) continue;
       log.info(`moving ${attempt.job.id}/${attempt.task} from ${mv.from} to ${mv.to}`);
-      this.prefer.set(attempt.job.id, { machine: mv.to, untilMs: now + 5000 });
-      attempt.job.avoid.set(mv.from, now + this.options.operator.elapseS * 2000);
-      this.leaderTerm.attempts.stopOrderly(attempt);
+      this.preferredMachines.set(attempt.job.id, { machine: mv.to, untilMs: now + 5000 });
+      attempt.job.avoid.set(mv.from, now + this.context.operator.elapseS * 2000);
+      this.context.attempts.stopGracefully(attempt);
     }
-    this.movesRefs.clear();
+    this.attemptsToMove.clear();
   }
 }
--- a/src/coordination/reports/acknowledgementLimits.ts
+++ b/src/coordination/heartbeats/acknowledgementLimits.ts
@@ -1,8 +1,8 @@
 import type { Job } from "../../bookkeeping/jobs.js";
 import type { Machine } from "../../bookkeeping/machines.js";
 import { log } from "../../transport/log.js";
-import { ackLimitMs } from "../leadership/leaseExpiry.js";
-import { GRANT_MS } from "./reportServerRegistry.js";
+import { acknowledgementLimitMs } from "../leadership/leaseExpiry.js";
+import { GRANT_MS } from "./heartbeatServerRegistry.js";
 
 /** What the leader and those under its grants may acknowledge, by what it knows of cancellations (`ackLimitMs`). */
 export class AcknowledgementLimits {
@@ -21,14 +21,14 @@
   /** Keeps to what was known at `nowMs`: what has been learned since only adds to it. */
   update(knownMs: number, jobs: Iterable<Job>, nowMs: number, today: Date): void {
     const { cancelS, leaseS, clockErrorMs } = this.options;
-    this.untilMs = ackLimitMs(knownMs, cancelS, leaseS);
+    this.untilMs = acknowledgementLimitMs(knownMs, cancelS, leaseS);
     this.zones.clear();
     const limits = new Map<Machine, number>();
     for (const job of jobs) {
       if (job.cancelledAt === null) continue;
       // Whoever wrote that time, and we, may be wrong by the clocks' error.
       const agoMs = today.getTime() - job.cancelledAt.getTime() + 2 * clockErrorMs;
-      const limitMs = ackLimitMs(nowMs - agoMs, cancelS, leaseS);
+      const limitMs = acknowledgementLimitMs(nowMs - agoMs, cancelS, leaseS);
       for (const { machine } of job.attempts)
         limits.set(machine, Math.min(limits.get(machine) ?? Infinity, limitMs));
     }
--- a/src/coordination/reports/confirmedCancellations.ts
+++ b/src/coordination/heartbeats/confirmedCancellations.ts
@@ -67,7 +67,7 @@
         cancellationsComplete = false;
         break;
       }
-      cancellations.push({ id, at: e.at });
+      cancellations.push({ id, cancelledAt: e.at });
       cancellationSeq = e.seq;
     }
     return { cancellations, cancellationSeq, cancellationsComplete };
--- /dev/null
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -0,0 +1,118 @@
+import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { Platform } from "../../settings/platform.js";
+import type { Clock } from "../../transport/clock.js";
+import { MIN_ZONE_LEASE_MS } from "../leadership/leaseExpiry.js";
+import type { Attempts } from "../term/attempts.js";
+import type { JobRegistry } from "../term/jobRegistry.js";
+import type { TermLease } from "../term/termLease.js";
+import type { AcknowledgementLimits } from "./acknowledgementLimits.js";
+import type { HeartbeatServerLimits } from "./heartbeatServer.js";
+import type { HeartbeatServerRegistry } from "./heartbeatServerRegistry.js";
+
+/** When this controller's requests to the state store were last served and refused, in steady time. */
+export interface StateStoreHealth {
+  readonly lastServedSentMs: number;
+  readonly lastRefusedMs: number;
+}
+
+/** What the issuer uses of the term and of its controller. */
+export interface GrantIssuerContext {
+  clock: Clock;
+  platform: Platform;
+  lease: TermLease;
+  jobs: JobRegistry;
+  attempts: Attempts;
+  servers: HeartbeatServerRegistry;
+  limits: AcknowledgementLimits;
+  stateStore: StateStoreHealth;
+  /** All cancellations that were committed before then have been read from the state store. */
+  cancellationsReadUntilMs: () => number;
+  sendGrant: (peer: string, grant: Grant) => void;
+  /** Who serves workers: the heartbeat server beside us spreads them, too. */
+  onServers: (servers: Grant["servers"]) => void;
+  /** What the heartbeat server beside us may acknowledge. */
+  onLimits: (limits: HeartbeatServerLimits) => void;
+  /** Workers that report to this controller. */
+  workerCount: () => number;
+  lagMs: () => number;
+}
+
+/**
+ * Owns the right to acknowledge heartbeats, and lends it to the other controllers: never for longer than the leader
+ * itself has it, and never past what it knows of cancellations (rule `ran_cancelled`).
+ */
+export class GrantIssuer {
+  /** The other controllers' zones. */
+  private readonly zones: ReadonlyMap<string, string>;
+  /** Cancellations that were confirmed at this controller are known up to that one. */
+  private localCancellationSeq = 0;
+
+  constructor(private readonly context: GrantIssuerContext) {
+    this.zones = new Map(context.platform.peers.map((peer) => [peer.name, peer.zone]));
+  }
+
+  /** A grant in answer to what another controller has told of its workers, if it may have one. */
+  answer(update: HeartbeatServerUpdate, nowMs: number): void {
+    const { servers, limits, lease, stateStore } = this.context;
+    const grant = servers.grant(update, {
+      self: this.ownLoad(),
+      nowMs,
+      acknowledgeUntilMs: Math.min(lease.acknowledgeUntilMs, limits.untilMs),
+      stateStoreReachable: stateStore.lastServedSentMs > stateStore.lastRefusedMs,
+      zoneDurationMs: this.zoneLeaseMs(this.zones.get(update.from) ?? "", nowMs),
+      quarantined: limits.quarantined,
+    });
+    if (!grant) return;
+    this.context.sendGrant(update.from, grant);
+    // The heartbeat server beside us spreads workers as well, from the first moment on.
+    this.context.onServers(grant.servers);
+  }
+
+  /** What a controller has confirmed to users as cancelled, perhaps before the leader can read it. */
+  applyCancellations(update: HeartbeatServerUpdate, nowMs: number): void {
+    if (update.from === this.context.platform.node)
+      this.localCancellationSeq = Math.max(this.localCancellationSeq, update.cancellationSeq);
+    else this.context.servers.applyCancellations(update, nowMs);
+    for (const { id, cancelledAt } of update.cancellations) {
+      const job = this.context.jobs.get(id);
+      if (job && !job.cancelled) this.context.attempts.cancelJob(job, cancelledAt);
+    }
+  }
+
+  /** Works out anew what may be acknowledged, and tells the heartbeat server beside us. */
+  updateLimits(nowMs: number): void {
+    const { platform, lease, limits, servers, jobs, clock } = this.context;
+    if (!lease.isLoaded) return;
+    const knownMs = servers.cancellationsKnownUntilMs(this.context.cancellationsReadUntilMs());
+    limits.update(knownMs, jobs.values(), nowMs, clock.today());
+    const zoneLeaseMs = this.zoneLeaseMs(platform.zone, nowMs);
+    this.context.onLimits({
+      term: lease.term,
+      untilMs: limits.untilMs,
+      zoneLeaseUntilMs: zoneLeaseMs > 0 ? nowMs + zoneLeaseMs : -Infinity,
+      quarantined: limits.quarantined,
+      cancellationSeq: this.localCancellationSeq,
+    });
+  }
+
+  /** Tells the heartbeat server beside us who serves workers. */
+  publishServers(nowMs: number): void {
+    this.context.onServers(this.context.servers.servers(this.ownLoad(), nowMs));
+  }
+
+  /** How long a controller may keep that zone's workers alive if it is cut off with them from now on; 0: not at all. */
+  private zoneLeaseMs(zone: string, nowMs: number): number {
+    const { lease, limits } = this.context;
+    if (!lease.isLoaded || !lease.mayWrite()) return 0;
+    const durationMs = Math.floor(limits.zoneUntilMs(zone) - nowMs);
+    return durationMs < MIN_ZONE_LEASE_MS ? 0 : durationMs;
+  }
+
+  private ownLoad(): Grant["servers"][number] {
+    return {
+      node: this.context.platform.node,
+      machines: this.context.workerCount(),
+      lagMs: Math.round(this.context.lagMs()),
+    };
+  }
+}
--- a/src/coordination/reports/reportServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -1,55 +1,55 @@
-import type { UnchangedReport, Report, ReceivedReport } from "../../protocol/model.js";
-import type { Grant, PeerMessage, ReportServerUpdate } from "../../protocol/peers.js";
-import { encodeElsewhere, encodeResponse } from "../../protocol/workers.js";
+import type { UnchangedHeartbeat, Heartbeat, ReceivedHeartbeat } from "../../protocol/model.js";
+import type { Grant, PeerMessage, HeartbeatServerUpdate } from "../../protocol/peers.js";
+import { encodeRedirect, encodeHeartbeatResponse } from "../../protocol/workers.js";
 import type { Clock, Timer } from "../../transport/clock.js";
 import type { Answer } from "../../transport/httpServer.js";
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
-import type { ElectionNews, LeadershipLease } from "../leadership/election.js";
+import type { LeadershipChange, LeadershipLease } from "../leadership/leadershipLease.js";
 import { DRIFT, firstToken } from "../leadership/leaseExpiry.js";
 import { ConfirmedCancellations } from "./confirmedCancellations.js";
 import { WorkerBalancer } from "./workerBalancer.js";
 
 type Message =
-  | { kind: "election"; news: ElectionNews }
-  | { kind: "report"; report: Report; reply: (answer: Answer) => void }
+  | { kind: "election"; change: LeadershipChange }
+  | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (answer: Answer) => void }
   | { kind: "grant"; grant: Grant }
   | { kind: "servers"; servers: Grant["servers"] }
-  | { kind: "limits"; limits: ReportServerLimits }
+  | { kind: "limits"; limits: HeartbeatServerLimits }
   | { kind: "cancellation confirmed"; id: string; at: Date }
   | { kind: "isolated"; from: string; term: number }
   | { kind: "flush" }
   | { kind: "tick" };
 
 /** What the leader beside us lets us acknowledge; followers hear it in their grants. */
-export interface ReportServerLimits {
+export interface HeartbeatServerLimits {
   term: number;
   untilMs: number;
   /** Our own zone's workers, if we are cut off with them. */
-  zoneUntilMs: number;
+  zoneLeaseUntilMs: number;
   quarantined: string[];
   /** The cancellations told here up to that one are known to it. */
   cancellationSeq: number;
 }
 
-export interface ReportServerOptions {
+export interface HeartbeatServerOptions {
   node: string;
   zone: string;
   /** Each controller's zone, ours included. */
   zones: ReadonlyMap<string, string>;
   /** Different in each process; below 2^48. */
-  life: number;
+  incarnation: number;
   clock: Clock;
-  reportS: number;
+  heartbeatS: number;
   /** Cancellations told longer ago than this concern nobody any more. */
   keepCancellationsMs: number;
   /** To the leader, whoever that is; true when it went out. */
-  toLeader: (leader: string, serving: ReportServerUpdate) => void;
+  toLeader: (leader: string, update: HeartbeatServerUpdate) => void;
   toNeighbour: (node: string, message: PeerMessage) => void;
   /** To the leader beside us, while it leads. */
-  toLeaderHere: (serving: ReportServerUpdate) => void;
+  toLocalLeader: (update: HeartbeatServerUpdate) => void;
   /** For the first time in this process, reports may be acknowledged. */
-  onFirstRight: () => void;
+  onFirstGrant: () => void;
   /** A worker has seen the token of a later term. */
   onLaterTerm: (term: number) => void;
   lagMs: () => number;
@@ -57,11 +57,11 @@
 
 /** What a node remembers of a worker that reports to it. */
 interface KnownWorker {
-  report: Report;
+  heartbeat: Heartbeat;
   /** Newest of its reports, not of its answers to commands. */
-  session: number;
+  epoch: number;
   tick: number;
-  heardMs: number;
+  receivedMs: number;
 }
 
 const TICK_MS = 500;
@@ -83,24 +83,24 @@
  * a worker's lease, so it is given only while the grant lasts, and every one of them is told to the leader, whose
  * proofs count on that (rule `ran_twice`). Commands come from the leader alone, by deliveries.
  */
-export class ReportServer extends Actor<Message> {
+export class HeartbeatServer extends Actor<Message> {
   private leader: string | null = null;
   private term = 0;
   private lease: LeadershipLease | null = null;
   private grantUntilMs = -Infinity;
   /** Until then our own zone's workers may be kept alive, if the whole zone is cut off. */
-  private zoneUntilMs = -Infinity;
+  private zoneLeaseUntilMs = -Infinity;
   /** The last moment at which we might acknowledge anybody's reports. */
   private rightUntilMs = -Infinity;
   /** When a neighbour last said that it hears from no leader either. */
-  private neighbourAloneMs = -Infinity;
+  private neighbourIsolatedMs = -Infinity;
   /** When we heard of this term first. */
   private termSeenMs = -Infinity;
-  private echoedStampMs = 0;
-  private resyncedStampMs = 0;
+  private lastGrantIssuedAtMs = 0;
+  private lastResyncIssuedAtMs = 0;
   private sequence = 0;
   private readonly workers = new Map<string, KnownWorker>();
-  private readonly unchanged = new Map<string, UnchangedReport>();
+  private readonly unchanged = new Map<string, UnchangedHeartbeat>();
   private readonly changed = new Map<string, KnownWorker>();
   private machines = 0;
   private readonly balancer: WorkerBalancer;
@@ -110,12 +110,12 @@
   private limitMs = -Infinity;
   private quarantined = new Set<string>();
   private readonly confirmedCancellations: ConfirmedCancellations;
-  private hadRight = false;
+  private hasBeenGranted = false;
   private flushSet = false;
   private timer: Timer | null = null;
   private stopped = false;
 
-  constructor(private readonly options: ReportServerOptions) {
+  constructor(private readonly options: HeartbeatServerOptions) {
     super();
     this.confirmedCancellations = new ConfirmedCancellations(options.keepCancellationsMs);
     this.balancer = new WorkerBalancer(options.node, options.zones);
@@ -140,16 +140,16 @@
 
   protected override failed(message: Message, error: unknown): void {
     log.error(`report server: ${message.kind}: ${String((error as Error)?.stack ?? error)}`);
-    if (message.kind === "report") message.reply({ status: 503, body: {} });
+    if (message.kind === "heartbeat") message.reply({ status: 503, body: {} });
   }
 
   protected override handle(message: Message): void {
     switch (message.kind) {
       case "election":
-        this.elected(message.news);
+        this.elected(message.change);
         break;
-      case "report":
-        this.report(message.report, message.reply);
+      case "heartbeat":
+        this.report(message.heartbeat, message.reply);
         break;
       case "grant":
         this.applyGrant(message.grant);
@@ -167,7 +167,7 @@
         break;
       case "isolated":
         if (message.term === this.term && this.neighbours.includes(message.from))
-          this.neighbourAloneMs = this.options.clock.nowMs();
+          this.neighbourIsolatedMs = this.options.clock.nowMs();
         break;
       case "flush":
         this.flushSet = false;
@@ -179,13 +179,13 @@
     }
   }
 
-  private elected(news: ElectionNews): void {
+  private elected(news: LeadershipChange): void {
     const led = this.lease?.term;
     this.lease = news.lease;
     this.leader = news.leader;
     if (news.lease) {
       if (led !== news.lease.term) this.beginTerm(news.lease.term);
-      this.rightUntilMs = Math.max(this.rightUntilMs, news.lease.ackUntilMs);
+      this.rightUntilMs = Math.max(this.rightUntilMs, news.lease.acknowledgeUntilMs);
     } else if (news.leader !== null && news.term > this.term) {
       this.beginTerm(news.term);
     }
@@ -197,8 +197,8 @@
     this.term = term;
     this.termSeenMs = this.options.clock.nowMs();
     this.dropGrants();
-    this.echoedStampMs = 0;
-    this.resyncedStampMs = 0;
+    this.lastGrantIssuedAtMs = 0;
+    this.lastResyncIssuedAtMs = 0;
     this.sequence = 0;
     this.balancer.setServers([]);
     this.confirmedCancellations.beginTerm();
@@ -210,36 +210,36 @@
   /** Whatever an earlier leader gave us: the next one counts on it that we use none of it from here on. */
   private dropGrants(): void {
     this.grantUntilMs = -Infinity;
-    this.zoneUntilMs = -Infinity;
+    this.zoneLeaseUntilMs = -Infinity;
     this.rightUntilMs = -Infinity;
-    this.neighbourAloneMs = -Infinity;
+    this.neighbourIsolatedMs = -Infinity;
     this.limitMs = -Infinity;
   }
 
-  private applyLimits(limits: ReportServerLimits): void {
+  private applyLimits(limits: HeartbeatServerLimits): void {
     if (this.lease?.term !== limits.term) return;
     this.limitMs = limits.untilMs;
-    this.zoneUntilMs = Math.max(this.zoneUntilMs, limits.zoneUntilMs);
+    this.zoneLeaseUntilMs = Math.max(this.zoneLeaseUntilMs, limits.zoneLeaseUntilMs);
     this.quarantined = new Set(limits.quarantined);
     this.confirmedCancellations.acknowledgedUpTo(limits.cancellationSeq);
-    this.noteRight();
+    this.noteFirstGrant();
   }
 
-  private noteRight(): void {
-    if (this.hadRight || this.options.clock.nowMs() >= this.untilMs()) return;
-    this.hadRight = true;
-    this.options.onFirstRight();
+  private noteFirstGrant(): void {
+    if (this.hasBeenGranted || this.options.clock.nowMs() >= this.untilMs()) return;
+    this.hasBeenGranted = true;
+    this.options.onFirstGrant();
   }
 
   private resync(): void {
     const now = this.options.clock.nowMs();
     for (const [name, worker] of this.workers) {
-      if (now - worker.heardMs < 4000 * this.options.reportS) this.changed.set(name, worker);
+      if (now - worker.receivedMs < 4000 * this.options.heartbeatS) this.changed.set(name, worker);
     }
   }
 
   private untilMs(): number {
-    return this.lease ? Math.min(this.lease.ackUntilMs, this.limitMs) : this.grantUntilMs;
+    return this.lease ? Math.min(this.lease.acknowledgeUntilMs, this.limitMs) : this.grantUntilMs;
   }
 
   private applyGrant(grant: Grant): void {
@@ -249,27 +249,30 @@
       this.lease ||
       grant.term !== this.term ||
       grant.from !== this.leader ||
-      grant.life !== this.options.life
+      grant.incarnation !== this.options.incarnation
     )
       return;
-    if (grant.resync && grant.stampMs > this.resyncedStampMs) {
-      this.resyncedStampMs = grant.stampMs;
+    if (grant.resync && grant.issuedAtMs > this.lastResyncIssuedAtMs) {
+      this.lastResyncIssuedAtMs = grant.issuedAtMs;
       this.resync();
       this.flushSoon();
     }
-    if (grant.askMs > now || now - grant.askMs > 10_000) return;
-    this.grantUntilMs = Math.max(this.grantUntilMs, grant.askMs + grant.forMs * (1 - 2 * DRIFT));
+    if (grant.requestedAtMs > now || now - grant.requestedAtMs > 10_000) return;
+    this.grantUntilMs = Math.max(this.grantUntilMs, grant.requestedAtMs + grant.durationMs * (1 - 2 * DRIFT));
     this.rightUntilMs = Math.max(this.rightUntilMs, this.grantUntilMs);
-    if (grant.zoneForMs > 0)
-      this.zoneUntilMs = Math.max(this.zoneUntilMs, grant.askMs + grant.zoneForMs * (1 - 2 * DRIFT));
-    this.echoedStampMs = Math.max(this.echoedStampMs, grant.stampMs);
+    if (grant.zoneDurationMs > 0)
+      this.zoneLeaseUntilMs = Math.max(
+        this.zoneLeaseUntilMs,
+        grant.requestedAtMs + grant.zoneDurationMs * (1 - 2 * DRIFT),
+      );
+    this.lastGrantIssuedAtMs = Math.max(this.lastGrantIssuedAtMs, grant.issuedAtMs);
     this.confirmedCancellations.acknowledgedUpTo(grant.cancellationSeq);
     this.quarantined = new Set(grant.quarantined);
     this.balancer.setServers(grant.servers);
-    this.noteRight();
+    this.noteFirstGrant();
   }
 
-  private report(report: Report, reply: (answer: Answer) => void): void {
+  private report(report: Heartbeat, reply: (answer: Answer) => void): void {
     const now = this.options.clock.nowMs();
     const ownZone = now >= this.untilMs();
     if (ownZone && !this.mayServeOwnZone(report.zone, now)) {
@@ -278,10 +281,10 @@
       // arrived there at once, when it has most to do, and many of their leases ran out in its line.
       const patient = now - Math.max(this.grantUntilMs, this.termSeenMs) < NAME_LEADER_MS;
       if (elsewhere === null || elsewhere === this.options.node || patient) reply({ status: 503, body: {} });
-      else reply({ status: 421, body: encodeElsewhere(elsewhere) });
+      else reply({ status: 421, body: encodeRedirect(elsewhere) });
       return;
     }
-    if (report.token >= firstToken(this.term + 1)) {
+    if (report.fencingToken >= firstToken(this.term + 1)) {
       // A later leader has spoken to it: a 200 from us would be dropped and hold the worker here.
       this.dropGrants();
       this.options.onLaterTerm(this.term);
@@ -303,17 +306,20 @@
     const other = ownZone ? null : this.redirectTarget(report, known !== undefined, now);
     if (other !== null) {
       this.workers.delete(report.machine);
-      reply({ status: 421, body: encodeElsewhere(other) });
+      reply({ status: 421, body: encodeRedirect(other) });
       return;
     }
-    reply({ status: 200, body: encodeResponse(Math.max(firstToken(this.term), report.token), []) });
-    const same = known !== undefined && isUnchanged(known.report, report);
-    const entry = { report, session: report.session, tick: report.tick, heardMs: now };
+    reply({
+      status: 200,
+      body: encodeHeartbeatResponse(Math.max(firstToken(this.term), report.fencingToken), []),
+    });
+    const same = known !== undefined && isUnchanged(known.heartbeat, report);
+    const entry = { heartbeat: report, epoch: report.epoch, tick: report.tick, receivedMs: now };
     this.workers.set(report.machine, entry);
     if (same && !this.changed.has(report.machine)) {
       this.unchanged.set(report.machine, {
         machine: report.machine,
-        session: report.session,
+        epoch: report.epoch,
         tick: report.tick,
       });
       if (this.lease) this.flush();
@@ -331,12 +337,12 @@
    * them on: so only while a neighbour says that it hears from no leader either, or for the moment until it can say so.
    */
   private mayServeOwnZone(zone: string, now: number): boolean {
-    if (zone !== this.options.zone || now >= this.zoneUntilMs) return false;
-    return now - this.rightUntilMs < DECIDE_MS || now - this.neighbourAloneMs < NEIGHBOUR_MS;
+    if (zone !== this.options.zone || now >= this.zoneLeaseUntilMs) return false;
+    return now - this.rightUntilMs < DECIDE_MS || now - this.neighbourIsolatedMs < NEIGHBOUR_MS;
   }
 
   /** Another controller that this worker should go to; null: stay. */
-  private redirectTarget(report: Report, isKnown: boolean, now: number): string | null {
+  private redirectTarget(report: Heartbeat, isKnown: boolean, now: number): string | null {
     return this.balancer.redirectTarget(report, {
       isKnown,
       leader: this.leader,
@@ -355,15 +361,17 @@
   private flush(): void {
     if (this.stopped || this.leader === null || this.term === 0) return;
     const now = this.options.clock.nowMs();
-    const reports: ReceivedReport[][] = [[]];
+    const reports: ReceivedHeartbeat[][] = [[]];
     let tasks = 0;
     for (const worker of this.changed.values()) {
-      if (tasks + worker.report.tasks.length > FRAME_TASKS) {
+      if (tasks + worker.heartbeat.tasks.length > FRAME_TASKS) {
         reports.push([]);
         tasks = 0;
       }
-      tasks += worker.report.tasks.length + 5;
-      reports.at(-1)!.push({ ageMs: Math.max(0, Math.round(now - worker.heardMs)), report: worker.report });
+      tasks += worker.heartbeat.tasks.length + 5;
+      reports
+        .at(-1)!
+        .push({ ageMs: Math.max(0, Math.round(now - worker.receivedMs)), heartbeat: worker.heartbeat });
     }
     this.changed.clear();
     const unchanged = [...this.unchanged.values()];
@@ -371,24 +379,24 @@
     const cancellations = this.confirmedCancellations.nextUpdate(now);
     reports.forEach((part, i) => {
       const last = i === reports.length - 1;
-      const serving: ReportServerUpdate = {
-        kind: "report server update",
+      const update: HeartbeatServerUpdate = {
+        kind: "heartbeat server update",
         from: this.options.node,
         term: this.term,
-        life: this.options.life,
+        incarnation: this.options.incarnation,
         sequence: ++this.sequence,
         // All of it is told only with the last part.
-        echoedStampMs: last ? this.echoedStampMs : 0,
-        resyncedStampMs: last ? this.resyncedStampMs : 0,
-        askMs: Math.floor(now),
+        lastGrantIssuedAtMs: last ? this.lastGrantIssuedAtMs : 0,
+        lastResyncIssuedAtMs: last ? this.lastResyncIssuedAtMs : 0,
+        requestedAtMs: Math.floor(now),
         machines: this.machines,
         lagMs: Math.round(this.options.lagMs()),
         unchanged: last ? unchanged : [],
-        reports: part,
+        heartbeats: part,
         ...(last ? cancellations : { cancellations: [], cancellationSeq: 0, cancellationsComplete: false }),
       };
-      if (this.lease) this.options.toLeaderHere(serving);
-      else if (this.leader !== null) this.options.toLeader(this.leader, serving);
+      if (this.lease) this.options.toLocalLeader(update);
+      else if (this.leader !== null) this.options.toLeader(this.leader, update);
     });
   }
 
@@ -398,13 +406,13 @@
     const now = this.options.clock.nowMs();
     this.machines = 0;
     for (const [name, worker] of this.workers) {
-      if (now - worker.heardMs > FORGET_MS) this.workers.delete(name);
-      else if (now - worker.heardMs < 2500 * this.options.reportS) this.machines++;
+      if (now - worker.receivedMs > FORGET_MS) this.workers.delete(name);
+      else if (now - worker.receivedMs < 2500 * this.options.heartbeatS) this.machines++;
     }
     this.confirmedCancellations.expire(now);
     this.balancer.forgetOld(now);
     if (!this.lease) this.flush();
-    if (now >= this.untilMs() && now < this.zoneUntilMs) {
+    if (now >= this.untilMs() && now < this.zoneLeaseUntilMs) {
       for (const node of this.neighbours)
         this.options.toNeighbour(node, { kind: "isolated", from: this.options.node, term: this.term });
     }
@@ -412,16 +420,16 @@
 }
 
 /** Older than a report that the worker has sent since, or the same once more. Pure. */
-export function isLateCopy(known: { session: number; tick: number }, report: Report): boolean {
-  return report.session < known.session || (report.session === known.session && report.tick <= known.tick);
+export function isLateCopy(known: { epoch: number; tick: number }, report: Heartbeat): boolean {
+  return report.epoch < known.epoch || (report.epoch === known.epoch && report.tick <= known.tick);
 }
 
 /** Does the newer report tell the leader nothing but that the worker lives? Pure. */
-export function isUnchanged(known: Report, newer: Report): boolean {
+export function isUnchanged(known: Heartbeat, newer: Heartbeat): boolean {
   if (
-    known.session !== newer.session ||
-    known.token !== newer.token ||
-    (known.noticeS === null) !== (newer.noticeS === null)
+    known.epoch !== newer.epoch ||
+    known.fencingToken !== newer.fencingToken ||
+    (known.interruptionNoticeS === null) !== (newer.interruptionNoticeS === null)
   )
     return false;
   if (known.address !== newer.address || known.tasks.length !== newer.tasks.length) return false;
--- a/src/coordination/reports/reportServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -1,16 +1,29 @@
-import type { Grant, ReportServerUpdate } from "../../protocol/peers.js";
-import { DRIFT, type ReportServerFacts } from "../leadership/leaseExpiry.js";
+import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers.js";
+import { DRIFT, type HeartbeatServerFacts } from "../leadership/leaseExpiry.js";
 
 /** How long a controller may acknowledge reports without hearing from the leader again. */
 export const GRANT_MS = 2000;
 const MIN_GAP_MS = 250;
 
-interface ServerRecord extends ReportServerFacts {
+/** What a grant may allow, as the leader stands at that moment. */
+export interface GrantTerms {
+  /** The leader's own load. */
+  self: Grant["servers"][number];
+  nowMs: number;
+  /** Until then the leader itself may acknowledge heartbeats. */
+  acknowledgeUntilMs: number;
+  stateStoreReachable: boolean;
+  /** For workers of the asker's own zone; 0: no longer than for the rest. */
+  zoneDurationMs: number;
+  quarantined: string[];
+}
+
+interface ServerRecord extends HeartbeatServerFacts {
   /** After this it acknowledges nothing of its own zone's workers either. */
-  zoneUntilMs: number;
+  zoneLeaseUntilMs: number;
   /** Before this it may have acknowledged anything of its own zone, under an earlier leader. */
   zoneBlindMs: number;
-  life: number;
+  incarnation: number;
   sequence: number;
   machines: number;
   lagMs: number;
@@ -29,7 +42,7 @@
  * What the leader knows of the controllers that acknowledge reports under its grants: until when they may, and up to
  * when all that they have acknowledged is known here. Every proof by an elapsed lease asks it (rule `ran_twice`).
  */
-export class ReportServerRegistry {
+export class HeartbeatServerRegistry {
   private readonly records = new Map<string, ServerRecord>();
 
   constructor(
@@ -40,18 +53,18 @@
   ) {}
 
   /** What came in, in its order; a gap in it makes everything before this moment unknown. */
-  received(update: ReportServerUpdate, nowMs: number): void {
-    let book = this.records.get(update.from);
-    if (!book) {
-      book = {
+  received(update: HeartbeatServerUpdate, nowMs: number): void {
+    let record = this.records.get(update.from);
+    if (!record) {
+      record = {
         grantUntilMs: -Infinity,
-        zoneUntilMs: -Infinity,
+        zoneLeaseUntilMs: -Infinity,
         // With its first frame of this term it has given up what an earlier leader gave it.
         zoneBlindMs: nowMs,
         // In this term it could acknowledge nothing before its first grant.
         coveredMs: nowMs,
         blindMs: -Infinity,
-        life: update.life,
+        incarnation: update.incarnation,
         sequence: 0,
         machines: 0,
         lagMs: 0,
@@ -62,84 +75,84 @@
         cancellationsKnownMs: -Infinity,
         cancellationSeq: 0,
       };
-      this.records.set(update.from, book);
+      this.records.set(update.from, record);
     }
-    if (book.life !== update.life || update.sequence !== book.sequence + 1) {
+    if (record.incarnation !== update.incarnation || update.sequence !== record.sequence + 1) {
       // A lost frame named acknowledgements that nobody will name again. A process that came back may have had
       // untold ones as well, and its first frame may follow a grant to its forerunner.
-      if (book.grantUntilMs > -Infinity) book.blindMs = nowMs;
-      if (update.sequence !== 1) book.missingMs = nowMs;
+      if (record.grantUntilMs > -Infinity) record.blindMs = nowMs;
+      if (update.sequence !== 1) record.missingMs = nowMs;
     }
     // Asked until it is answered: asked once, and the question lost or too late for who stood still, a machine whose last
     // word had been lost was heard from then on as one with nothing new to say, and its job was never done.
-    else if (update.resyncedStampMs >= book.missingMs) book.missingMs = Infinity;
-    if (book.life !== update.life) {
-      book.processSinceMs = nowMs;
-      book.cancellationsKnownMs = -Infinity;
-      book.cancellationSeq = 0;
+    else if (update.lastResyncIssuedAtMs >= record.missingMs) record.missingMs = Infinity;
+    if (record.incarnation !== update.incarnation) {
+      record.processSinceMs = nowMs;
+      record.cancellationsKnownMs = -Infinity;
+      record.cancellationSeq = 0;
     }
-    book.life = update.life;
-    book.sequence = update.sequence;
-    book.coveredMs = Math.max(book.coveredMs, Math.min(update.echoedStampMs, nowMs));
-    book.machines = update.machines;
-    book.lagMs = update.lagMs;
-    book.receivedMs = nowMs;
+    record.incarnation = update.incarnation;
+    record.sequence = update.sequence;
+    record.coveredMs = Math.max(record.coveredMs, Math.min(update.lastGrantIssuedAtMs, nowMs));
+    record.machines = update.machines;
+    record.lagMs = update.lagMs;
+    record.receivedMs = nowMs;
   }
 
   /** Its cancellations were taken over. */
-  learnCancellations(update: ReportServerUpdate, nowMs: number): void {
-    const book = this.records.get(update.from);
-    if (!book || book.life !== update.life) return;
-    book.cancellationSeq = Math.max(book.cancellationSeq, update.cancellationSeq);
+  applyCancellations(update: HeartbeatServerUpdate, nowMs: number): void {
+    const record = this.records.get(update.from);
+    if (!record || record.incarnation !== update.incarnation) return;
+    record.cancellationSeq = Math.max(record.cancellationSeq, update.cancellationSeq);
     // Whatever it tells after our stamp came in is told after that stamp.
     if (update.cancellationsComplete)
-      book.cancellationsKnownMs = Math.max(book.cancellationsKnownMs, Math.min(update.echoedStampMs, nowMs));
+      record.cancellationsKnownMs = Math.max(
+        record.cancellationsKnownMs,
+        Math.min(update.lastGrantIssuedAtMs, nowMs),
+      );
   }
 
   /**
    * Up to when all cancellations that users were told of are known here: read from the state service, or named by the
    * controllers themselves. What a process had told that is over by now can only be read, after we first heard the next.
    */
-  cancelsKnownToMs(readMs: number): number {
+  cancellationsKnownUntilMs(readMs: number): number {
     let knownMs = Infinity;
     for (const node of this.zones.keys()) {
-      const book = this.records.get(node);
-      const toldMs = book && readMs >= book.processSinceMs ? book.cancellationsKnownMs : -Infinity;
+      const record = this.records.get(node);
+      const toldMs = record && readMs >= record.processSinceMs ? record.cancellationsKnownMs : -Infinity;
       knownMs = Math.min(knownMs, Math.max(readMs, toldMs));
     }
     return knownMs;
   }
 
   /** A new grant in answer to that frame, unless the last one is young. Never longer than we may act ourselves. */
-  grant(
-    update: ReportServerUpdate,
-    self: { node: string; machines: number; lagMs: number },
-    nowMs: number,
-    ackUntilMs: number,
-    stateServed: boolean,
-    homeMs = 0,
-    quarantined: string[] = [],
-  ): Grant | null {
-    const book = this.records.get(update.from);
-    const forMs = Math.floor(Math.min(GRANT_MS, ackUntilMs - nowMs));
-    if (!book || forMs <= 0 || nowMs - book.grantedMs < MIN_GAP_MS) return null;
-    book.grantedMs = nowMs;
+  grant(update: HeartbeatServerUpdate, terms: GrantTerms): Grant | null {
+    const { self, nowMs, acknowledgeUntilMs, stateStoreReachable, zoneDurationMs, quarantined } = terms;
+    const record = this.records.get(update.from);
+    const durationMs = Math.floor(Math.min(GRANT_MS, acknowledgeUntilMs - nowMs));
+    if (!record || durationMs <= 0 || nowMs - record.grantedMs < MIN_GAP_MS) return null;
+    record.grantedMs = nowMs;
     // It counts from when it asked, which was before now.
-    book.grantUntilMs = Math.max(book.grantUntilMs, nowMs + forMs * (1 + 2 * DRIFT) + 10);
-    if (homeMs > 0) book.zoneUntilMs = Math.max(book.zoneUntilMs, nowMs + homeMs * (1 + 2 * DRIFT) + 10);
-    const resync = book.missingMs < Infinity;
+    record.grantUntilMs = Math.max(record.grantUntilMs, nowMs + durationMs * (1 + 2 * DRIFT) + 10);
+    if (zoneDurationMs > 0)
+      record.zoneLeaseUntilMs = Math.max(
+        record.zoneLeaseUntilMs,
+        nowMs + zoneDurationMs * (1 + 2 * DRIFT) + 10,
+      );
+    const resync = record.missingMs < Infinity;
     return {
       kind: "grant",
       from: self.node,
       term: update.term,
-      life: update.life,
-      askMs: update.askMs,
-      forMs,
-      zoneForMs: homeMs,
-      stampMs: Math.floor(nowMs),
-      stateServed,
+      incarnation: update.incarnation,
+      requestedAtMs: update.requestedAtMs,
+      durationMs,
+      zoneDurationMs,
+      issuedAtMs: Math.floor(nowMs),
+      stateStoreReachable,
       resync,
-      cancellationSeq: book.cancellationSeq,
+      cancellationSeq: record.cancellationSeq,
       quarantined,
       servers: this.servers(self, nowMs),
     };
@@ -155,29 +168,30 @@
   }
 
   requestResync(node: string, nowMs: number): void {
-    const book = this.records.get(node);
-    if (book && book.missingMs === Infinity) book.missingMs = nowMs;
+    const record = this.records.get(node);
+    if (record && record.missingMs === Infinity) record.missingMs = nowMs;
   }
 
   /**
    * What counts for a machine of that zone (not known: of any). Who has not been heard in this term may still use what
    * an earlier leader gave it, which had ended its own giving by `othersSilentFromMs`.
    */
-  *facts(zone: string, othersSilentFromMs: number): Iterable<ReportServerFacts> {
+  *facts(zone: string, othersSilentFromMs: number): Iterable<HeartbeatServerFacts> {
     for (const [node, serverZone] of this.zones) {
-      const book = this.records.get(node);
+      const record = this.records.get(node);
       const own = zone === "" || serverZone === zone;
-      if (!book) {
+      if (!record) {
         if (!own || this.longestZoneLeaseMs === 0) continue;
         const grantUntilMs = othersSilentFromMs + this.longestZoneLeaseMs * (1 + 2 * DRIFT);
         yield { grantUntilMs, coveredMs: -Infinity, blindMs: -Infinity };
       } else if (own) {
         yield {
-          grantUntilMs: Math.max(book.grantUntilMs, book.zoneUntilMs),
-          coveredMs: book.coveredMs,
-          blindMs: this.longestZoneLeaseMs === 0 ? book.blindMs : Math.max(book.blindMs, book.zoneBlindMs),
+          grantUntilMs: Math.max(record.grantUntilMs, record.zoneLeaseUntilMs),
+          coveredMs: record.coveredMs,
+          blindMs:
+            this.longestZoneLeaseMs === 0 ? record.blindMs : Math.max(record.blindMs, record.zoneBlindMs),
         };
-      } else yield book;
+      } else yield record;
     }
   }
 
--- a/src/coordination/reports/workerBalancer.ts
+++ b/src/coordination/heartbeats/workerBalancer.ts
@@ -1,5 +1,5 @@
 import type { Grant } from "../../protocol/peers.js";
-import type { Report } from "../../protocol/model.js";
+import type { Heartbeat } from "../../protocol/model.js";
 
 /** A node this far behind sends workers on to nodes that keep up. */
 const SLOW_MS = 400;
@@ -48,7 +48,7 @@
   }
 
   /** Another controller that this worker should go to; null: stay. */
-  redirectTarget(report: Report, facts: BalancingFacts): string | null {
+  redirectTarget(report: Heartbeat, facts: BalancingFacts): string | null {
     const { nowMs } = facts;
     // Moving costs a report: whoever is here goes only a few at a time.
     if (facts.isKnown && nowMs < this.nextMoveMs) return null;
--- a/src/coordination/leadership/election.ts
+++ b/src/coordination/leadership/election.ts
@@ -1,46 +1,25 @@
-import type { Change, Item, StateClient } from "../../bookkeeping/stateClient.js";
+import type { Change, Item, StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import { keys } from "../../bookkeeping/records.js";
 import { asCount, asObject, asText } from "../../protocol/checks.js";
 import type { PeerMessage } from "../../protocol/peers.js";
 import type { Clock, Timer } from "../../transport/clock.js";
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
-import { LeaderSuspicion, SHOW_LIFE_MS, SUSPICION_MS } from "./leaderSuspicion.js";
+import { LeaderSuspicion, LIVENESS_WRITE_MS, SUSPICION_MS } from "./leaderSuspicion.js";
+import type { LeadershipChange } from "./leadershipLease.js";
 import { leadershipLeaseUntilMs } from "./leaseExpiry.js";
 
-/** What the leader may do, and until when by its own steady clock. */
-export interface LeadershipLease {
-  term: number;
-  /** Version of the term's key: guards every write of this term. */
-  termVersion: number;
-  /** Until then everything. */
-  fullUntilMs: number;
-  /** Until then reports may be acknowledged; never less than `fullUntilMs`. */
-  ackUntilMs: number;
-  /** From then on no earlier leader can acknowledge anything; Infinity while that is unknown. */
-  othersSilentFromMs: number;
-}
-
-export interface ElectionNews {
-  /** Null: not leading. The same term comes again whenever a time moves. */
-  lease: LeadershipLease | null;
-  /** Name of the leader as far as we know; null: nobody. */
-  leader: string | null;
-  /** That leader's term. */
-  term: number;
-}
-
 export interface ElectionOptions {
   node: string;
   /** Different in each process, so that a process does not take its forerunner's leadership for its own. */
-  life: string;
+  incarnation: string;
   peers: string[];
-  state: StateClient;
+  state: StateStoreClient;
   clock: Clock;
   send: (peer: string, message: PeerMessage) => void;
   /** Between 0 and 1. */
   random: () => number;
-  onNews: (news: ElectionNews) => void;
+  onLeadershipChange: (news: LeadershipChange) => void;
   leaseMs: number;
   probeMs: number;
 }
@@ -48,7 +27,7 @@
 interface LeadershipRecord {
   term: number;
   node: string;
-  life: string;
+  incarnation: string;
   lease: number;
 }
 
@@ -67,9 +46,9 @@
   | { kind: "renewed"; term: number; outcome: "ok" | "ended" | "failed"; sentMs: number }
   | { kind: "peer"; message: PeerMessage }
   | { kind: "deposed"; term: number }
-  | { kind: "behind"; term: number }
-  | { kind: "refused"; peer: string; othersReachable: boolean }
-  | { kind: "show life" };
+  | { kind: "lagging"; term: number }
+  | { kind: "peer refused"; peer: string; othersReachable: boolean }
+  | { kind: "liveness write" };
 
 /** A renewal without an answer is tried again after this. */
 const RENEW_MS = 1300;
@@ -80,7 +59,7 @@
 /** A peer confirms an extension only if it was refused this recently, and served no later than that. */
 const REFUSED_WITHIN_MS = 1500;
 /** A leader that falls behind lets the others try for so long. */
-const STAND_BACK_MS = 20_000;
+const STEP_DOWN_PAUSE_MS = 20_000;
 
 export function readLeadership(items: Item[], revision: number): LeadershipView {
   const view: LeadershipView = { revision, termVersion: 0, term: 0, record: null };
@@ -89,11 +68,11 @@
     if (item.key === keys.term) {
       view.termVersion = item.version;
       view.term = asCount(o?.n) ?? 0;
-    } else if (item.key === keys.hold) {
+    } else if (item.key === keys.leader) {
       view.record = {
         term: asCount(o?.n) ?? 0,
         node: asText(o?.node) ?? "",
-        life: asText(o?.life) ?? "",
+        incarnation: asText(o?.life) ?? "",
         lease: asCount(o?.lease) ?? 0,
       };
     }
@@ -134,16 +113,16 @@
   private campaigning = false;
   private requestInFlight = false;
   private confirmedBy = new Set<string>();
-  private othersSilentFromMs = Infinity;
+  private earlierLeadersSilentFromMs = Infinity;
   private lastRequest = 0;
   private openRequests = new Map<number, { sentMs: number; term: number; yes: Set<string> }>();
   private extendedUntilMs = -Infinity;
   private timer: Timer | null = null;
   private stopped = false;
-  private standBackUntilMs = -Infinity;
+  private noCampaignUntilMs = -Infinity;
   private readonly suspicion = new LeaderSuspicion();
   /** Until then we show, as leader, that we live. */
-  private showLifeUntilMs = -Infinity;
+  private livenessWritesUntilMs = -Infinity;
 
   constructor(private readonly options: ElectionOptions) {
     super();
@@ -182,15 +161,15 @@
       case "deposed":
         if (this.ownTerm && this.ownTerm.term === message.term) this.resign("a later term has begun");
         break;
-      case "refused":
+      case "peer refused":
         this.peerRefused(message.peer, message.othersReachable);
         break;
-      case "show life":
-        this.showLife();
+      case "liveness write":
+        this.writeLivenessRecord();
         break;
-      case "behind":
+      case "lagging":
         if (this.ownTerm && this.ownTerm.term === message.term) {
-          this.standBackUntilMs = this.options.clock.nowMs() + STAND_BACK_MS;
+          this.noCampaignUntilMs = this.options.clock.nowMs() + STEP_DOWN_PAUSE_MS;
           this.resign("this node falls behind, others do not");
         }
         break;
@@ -219,14 +198,14 @@
 
   /** Null when the state service did not answer in time. */
   private async fetchLeadership(deadlineMs: number): Promise<LeadershipView | null> {
-    const list = await this.options.state.list(keys.lead, deadlineMs);
+    const list = await this.options.state.list(keys.leadership, deadlineMs);
     return list.kind === "ok" ? readLeadership(list.items, list.revision) : null;
   }
 
   /** The record that names us leader of that term; it goes with the leadership lease. */
   private leadershipRecordChange(term: number, lease: number): Change {
-    const { node, life } = this.options;
-    return { put: keys.hold, value: { n: term, node, life, lease }, lease };
+    const { node, incarnation } = this.options;
+    return { put: keys.leader, value: { n: term, node, life: incarnation, lease }, lease };
   }
 
   private probed(view: LeadershipView | null, sentMs: number): void {
@@ -247,11 +226,11 @@
       }
     }
     if (!view.record) {
-      if (this.options.clock.nowMs() < this.standBackUntilMs) this.probeAfter(this.options.probeMs);
+      if (this.options.clock.nowMs() < this.noCampaignUntilMs) this.probeAfter(this.options.probeMs);
       else this.campaign(view);
       return;
     }
-    if (view.record.node === this.options.node && view.record.life !== this.options.life) {
+    if (view.record.node === this.options.node && view.record.incarnation !== this.options.incarnation) {
       // Our own forerunner's lease: that process is certainly over, so nobody need wait for its lease.
       this.endLease(view.record, "it was this node's former process's");
       return;
@@ -268,9 +247,9 @@
     if (this.ownTerm) {
       // The others see us refuse as well, and may take us for over.
       if (othersReachable) return;
-      const showing = now < this.showLifeUntilMs;
-      this.showLifeUntilMs = now + SUSPICION_MS;
-      if (!showing) this.showLife();
+      const showing = now < this.livenessWritesUntilMs;
+      this.livenessWritesUntilMs = now + SUSPICION_MS;
+      if (!showing) this.writeLivenessRecord();
     } else if (peer === this.leader) {
       this.suspicion.raise(peer, this.leaderTerm, othersReachable, now);
       this.probeAfter(0);
@@ -281,17 +260,17 @@
    * Writes our leadership record anew, now and a few times more. A leader that happened to write nothing while links
    * between controllers were refused lost its lease to the others, and 50 workers theirs with it.
    */
-  private showLife(): void {
+  private writeLivenessRecord(): void {
     const { clock, state } = this.options;
     const now = clock.nowMs();
-    if (this.stopped || !this.ownTerm || now >= this.showLifeUntilMs) return;
+    if (this.stopped || !this.ownTerm || now >= this.livenessWritesUntilMs) return;
     const { term, termVersion, lease } = this.ownTerm;
-    void state.commit(
+    void state.compareAndSwap(
       [{ key: keys.term, version: termVersion }],
       [this.leadershipRecordChange(term, lease)],
-      now + SHOW_LIFE_MS,
+      now + LIVENESS_WRITE_MS,
     );
-    clock.after(SHOW_LIFE_MS, () => this.tell({ kind: "show life" }));
+    clock.after(LIVENESS_WRITE_MS, () => this.tell({ kind: "liveness write" }));
   }
 
   private endLease(record: LeadershipRecord, reason: string): void {
@@ -316,9 +295,9 @@
         return;
       }
       const sentMs = start;
-      const outcome = await this.options.state.commit(
+      const outcome = await this.options.state.compareAndSwap(
         [
-          { key: keys.hold, version: 0 },
+          { key: keys.leader, version: 0 },
           { key: keys.term, version: view.termVersion },
         ],
         [
@@ -332,7 +311,7 @@
         // Perhaps carried out: read, never guess.
         const now = await this.fetchLeadership(this.options.clock.nowMs() + READ_MS);
         if (
-          now?.record?.life === this.options.life &&
+          now?.record?.incarnation === this.options.incarnation &&
           now.record.term === term &&
           now.record.lease === lease
         ) {
@@ -359,7 +338,7 @@
     this.knownTerm = won.term;
     this.ownTerm = { term: won.term, termVersion: won.revision, lease: won.lease, renewedSentMs: won.sentMs };
     this.confirmedBy = new Set([this.options.node]);
-    this.othersSilentFromMs = Infinity;
+    this.earlierLeadersSilentFromMs = Infinity;
     this.extendedUntilMs = -Infinity;
     this.openRequests.clear();
     this.leader = this.options.node;
@@ -395,7 +374,7 @@
     // Refused or silent: perhaps an outage. Ask the others, in time before the lease runs out.
     this.requestExtension();
     const now = this.options.clock.nowMs();
-    if (now >= this.ackUntilMs() + 1000 && now >= this.leaseUntilMs() + EXTENSION_MS) {
+    if (now >= this.acknowledgeUntilMs() + 1000 && now >= this.leaseUntilMs() + EXTENSION_MS) {
       this.resign("the leadership lease has run out and no quorum extends it");
       return;
     }
@@ -408,7 +387,7 @@
       : -Infinity;
   }
 
-  private ackUntilMs(): number {
+  private acknowledgeUntilMs(): number {
     return Math.max(this.leaseUntilMs(), this.extendedUntilMs);
   }
 
@@ -419,7 +398,7 @@
     this.ownTerm = null;
     this.leader = null;
     this.extendedUntilMs = -Infinity;
-    this.options.onNews({ lease: null, leader: null, term: 0 });
+    this.options.onLeadershipChange({ lease: null, leader: null, term: 0 });
     void this.options.state.endLease(lease, this.options.clock.nowMs() + 1000);
     this.probeAfter(100 + this.options.random() * 200);
   }
@@ -431,18 +410,18 @@
     if (leader === this.leader && (leader === null || term === this.leaderTerm)) return;
     this.leader = leader;
     if (leader !== null) this.leaderTerm = term;
-    this.options.onNews({ lease: null, leader, term });
+    this.options.onLeadershipChange({ lease: null, leader, term });
   }
 
   private publish(): void {
     if (!this.ownTerm) return;
-    this.options.onNews({
+    this.options.onLeadershipChange({
       lease: {
         term: this.ownTerm.term,
         termVersion: this.ownTerm.termVersion,
-        fullUntilMs: this.leaseUntilMs(),
-        ackUntilMs: this.ackUntilMs(),
-        othersSilentFromMs: this.othersSilentFromMs,
+        writeUntilMs: this.leaseUntilMs(),
+        acknowledgeUntilMs: this.acknowledgeUntilMs(),
+        earlierLeadersSilentFromMs: this.earlierLeadersSilentFromMs,
       },
       leader: this.options.node,
       term: this.ownTerm.term,
@@ -450,7 +429,7 @@
   }
 
   private announceTerm(): void {
-    if (!this.ownTerm || this.othersSilentFromMs < Infinity) return;
+    if (!this.ownTerm || this.earlierLeadersSilentFromMs < Infinity) return;
     for (const peer of this.options.peers) {
       if (!this.confirmedBy.has(peer)) {
         this.options.send(peer, {
@@ -464,13 +443,13 @@
 
   private checkQuorum(): void {
     if (
-      this.othersSilentFromMs < Infinity ||
+      this.earlierLeadersSilentFromMs < Infinity ||
       !isMajority(this.confirmedBy.size, this.options.peers.length + 1)
     )
       return;
     // Whoever led before can still hold an extension that was confirmed just before the majority confirmed us,
     // or, if its lease was ended early, the rest of that lease.
-    this.othersSilentFromMs =
+    this.earlierLeadersSilentFromMs =
       this.options.clock.nowMs() + Math.max(EXTENSION_MS, this.options.leaseMs) * 1.001 + 50;
   }
 
@@ -510,9 +489,9 @@
       case "term acknowledgement":
         if (this.ownTerm && message.term === this.ownTerm.term && this.options.peers.includes(message.from)) {
           this.confirmedBy.add(message.from);
-          const before = this.othersSilentFromMs;
+          const before = this.earlierLeadersSilentFromMs;
           this.checkQuorum();
-          if (before !== this.othersSilentFromMs) this.publish();
+          if (before !== this.earlierLeadersSilentFromMs) this.publish();
         }
         break;
       case "extension request":
--- a/src/coordination/leadership/leader.ts
+++ b/src/coordination/leadership/leader.ts
@@ -1,85 +1,38 @@
-import type { CommandDelivery, DeliveryResult, MachineType } from "../../protocol/model.js";
-import type { Grant, ReportServerUpdate } from "../../protocol/peers.js";
-import type { Transaction } from "../../bookkeeping/ledger.js";
-import type {
-  CommitOutcome,
-  Item,
-  ListOutcome,
-  StateClient,
-  WatchOutcome,
-} from "../../bookkeeping/stateClient.js";
-import type { Operator } from "../../settings/operator.js";
-import type { Platform } from "../../settings/platform.js";
-import type { Clock, Timer } from "../../transport/clock.js";
+import type { DeliveryResult, MachineType } from "../../protocol/model.js";
+import type { HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { Timer } from "../../transport/clock.js";
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
-import type { CloudClient, CloudNews } from "../provisioning/cloudClient.js";
-import type { ElectionNews } from "./election.js";
-import type { ReportServerLimits } from "../reports/reportServer.js";
+import type { CloudEvent } from "../provisioning/cloudClient.js";
 import { Estimates } from "../scheduling/estimates.js";
+import type { LeaderOptions } from "./leaderOptions.js";
+import type { LeadershipChange, LeadershipLease } from "./leadershipLease.js";
 import { LeaderTerm } from "./leaderTerm.js";
+import { buildTermParts } from "./termParts.js";
+import type { TermMessage } from "./termMessage.js";
+
+const TICK_MS = 250;
 
 export type LeaderMessage =
-  | { kind: "election"; news: ElectionNews }
-  | { kind: "report server update"; serving: ReportServerUpdate }
-  | {
-      kind: "loaded";
-      term: number;
-      heads: ListOutcome;
-      chunks: ListOutcome;
-      rest: Item[] | null;
-      sentMs: number;
-    }
-  | { kind: "watched"; term: number; outcome: WatchOutcome; sentMs: number }
-  | { kind: "reread"; term: number; key: string; item: Item | null; ok: boolean }
-  | { kind: "committed"; term: number; transaction: Transaction; outcome: CommitOutcome }
+  | { kind: "election"; change: LeadershipChange }
+  | { kind: "heartbeat server update"; update: HeartbeatServerUpdate }
   | { kind: "delivery finished"; term: number; result: DeliveryResult }
-  | { kind: "cloud"; news: CloudNews }
-  | { kind: "cycle"; term: number }
-  | { kind: "write"; term: number }
+  | { kind: "cloud"; event: CloudEvent }
+  /** From a part of that term. */
+  | { kind: "term"; term: number; message: TermMessage }
   | { kind: "tick" };
 
-export interface LeaderOptions {
-  platform: Platform;
-  operator: Operator;
-  state: StateClient;
-  clock: Clock;
-  cloud: CloudClient;
-  /** Has commands carried, by the controller that serves the machine or from here. */
-  deliver: (term: number, via: string | null, delivery: CommandDelivery) => void;
-  sendGrant: (peer: string, grant: Grant) => void;
-  /** Who serves workers: the report server beside us spreads them, too. */
-  onServers: (servers: Grant["servers"]) => void;
-  /** What the report server beside us may acknowledge. */
-  onLimits: (limits: ReportServerLimits) => void;
-  /** Workers that report to this node. */
-  workerCount: () => number;
-  lagMs: () => number;
-  /** To the leader itself: how answers of the outside come back into its mailbox. */
-  tell: (message: LeaderMessage) => void;
-  onDeposed: (term: number) => void;
-  /** This node falls behind, and others do not. */
-  onBehind: (term: number) => void;
-  onTypes: (types: MachineType[]) => void;
-  onTaskCounts: (term: number, jobs: { id: string; done: number; running: number }[]) => void;
-}
-
-const TICK_MS = 250;
-
-/** The leader's actor: holds the term's parts while there is one, and hands each message to the part it concerns. */
+/** The leader's actor: holds the term while there is one, and hands it what concerns it. */
 export class Leader extends Actor<LeaderMessage> {
-  private leaderTerm: LeaderTerm | null = null;
-  private readonly options: LeaderOptions;
+  private term: LeaderTerm | null = null;
   private readonly estimates: Estimates;
   private timer: Timer | null = null;
   private stopped = false;
 
-  constructor(options: Omit<LeaderOptions, "tell">) {
+  constructor(private readonly options: LeaderOptions) {
     super();
-    this.options = { ...options, tell: (message) => this.tell(message) };
-    this.estimates = new Estimates(
-      new Set([options.platform.zone, ...options.platform.peers.map((p) => p.zone)]),
-    );
+    const { platform } = options;
+    this.estimates = new Estimates(new Set([platform.zone, ...platform.peers.map((peer) => peer.zone)]));
   }
 
   start(): void {
@@ -92,94 +45,81 @@
   }
 
   protected override failed(message: LeaderMessage, error: unknown): void {
-    log.error(`leader: ${message.kind}: ${String((error as Error)?.stack ?? error)}`);
+    const kind = message.kind === "term" ? message.message.kind : message.kind;
+    log.error(`leader: ${kind}: ${String((error as Error)?.stack ?? error)}`);
   }
 
   protected override handle(message: LeaderMessage): void {
     switch (message.kind) {
       case "election":
-        this.elected(message.news);
-        return;
+        this.leadershipChanged(message.change);
+        break;
       case "tick":
         this.tick();
-        return;
+        break;
       case "cloud":
-        this.heardFromCloud(message.news);
-        return;
-      default:
+        this.receiveCloudEvent(message.event);
         break;
-    }
-    // Whatever belongs to a term that is over is dropped.
-    const r = this.leaderTerm;
-    if (
-      !r ||
-      r.lease.term !== (message.kind === "report server update" ? message.serving.term : message.term)
-    )
-      return;
-    switch (message.kind) {
-      case "report server update":
-        r.supervisor.receiveUpdate(message.serving);
+      case "heartbeat server update":
+        this.handOn(message.update.term, message);
         break;
       case "delivery finished":
-        r.supervisor.deliveryFinished(message.result);
-        break;
-      case "loaded":
-        r.recordStore.loaded(message.heads, message.chunks, message.rest, message.sentMs);
-        r.updateLimits(this.options.clock.nowMs());
-        break;
-      case "watched":
-        r.recordStore.watched(message.outcome, message.sentMs);
-        break;
-      case "reread":
-        r.recordStore.reread(message.key, message.item, message.ok);
-        break;
-      case "committed":
-        r.recordStore.committed(message.transaction, message.outcome);
+        this.handOn(message.term, message);
         break;
-      case "cycle":
-        r.scheduler.runCycle();
-        break;
-      case "write":
-        r.recordStore.writeNow();
+      case "term":
+        this.handOn(message.term, message.message);
         break;
     }
   }
 
-  private elected(news: ElectionNews): void {
-    const { lease } = news;
-    if (this.leaderTerm && this.leaderTerm.lease.term === lease?.term) {
-      this.leaderTerm.lease = lease;
+  /** Whatever belongs to a term that is over is dropped. */
+  private handOn(term: number, message: TermMessage): void {
+    if (this.term?.lease.term === term) this.term.handle(message);
+  }
+
+  private leadershipChanged({ lease }: LeadershipChange): void {
+    if (lease && this.term?.lease.term === lease.term) {
+      this.term.lease.renew(lease);
       return;
     }
-    if (this.leaderTerm) this.leaderTerm.over = true;
-    this.leaderTerm = lease ? new LeaderTerm(lease, this.options, this.estimates) : null;
-    if (!this.leaderTerm) return;
-    this.leaderTerm.recordStore.load();
+    this.term?.lease.end();
+    this.term = lease ? this.newTerm(lease) : null;
+    if (!this.term) return;
+    this.term.begin();
     this.tell({ kind: "tick" });
   }
 
-  private heardFromCloud(news: CloudNews): void {
-    if (news.kind !== "types") {
-      this.leaderTerm?.provisioner.receiveNews(news);
+  private newTerm(lease: LeadershipLease): LeaderTerm {
+    const { term } = lease;
+    const parts = buildTermParts(lease, this.options, this.estimates, {
+      tell: (message) => this.tell({ kind: "term", term, message }),
+      onStoredTypes: (types) => this.tell({ kind: "cloud", event: { kind: "types", types, stored: true } }),
+    });
+    return new LeaderTerm(parts, this.options);
+  }
+
+  private receiveCloudEvent(event: CloudEvent): void {
+    if (event.kind !== "types") {
+      this.term?.handle({ kind: "cloud", event });
       return;
     }
-    if (!news.stored || !this.estimates.typesKnown) this.setTypes(news.types, !news.stored);
-    this.leaderTerm?.scheduler.requestCycle();
+    if (!event.stored || !this.estimates.typesKnown) this.setTypes(event.types, !event.stored);
+    this.term?.requestCycle();
   }
 
   private setTypes(types: MachineType[], fromCloud: boolean): void {
     if (types.length === 0) return;
     const changed = this.estimates.setTypes(types);
     if (changed) this.options.onTypes(types);
-    this.leaderTerm?.typesChanged(fromCloud && changed, fromCloud);
+    this.term?.typesChanged({ fromCloud, changed });
   }
 
   private tick(): void {
     if (this.stopped) return;
     this.timer?.cancel();
     // Without a term there is nothing to do: the next one begins it.
-    if (!this.leaderTerm) return;
+    if (!this.term) return;
     this.timer = this.options.clock.after(TICK_MS, () => this.tell({ kind: "tick" }));
-    this.leaderTerm.tick(this.options.clock.nowMs());
+    this.term.tick(this.options.clock.nowMs());
   }
 }
--- a/src/coordination/leadership/leaderSuspicion.ts
+++ b/src/coordination/leadership/leaderSuspicion.ts
@@ -6,7 +6,7 @@
 /** A suspicion that nothing has confirmed for so long is dropped; the leadership lease has ended or been renewed by then. */
 export const SUSPICION_MS = 4000;
 /** A leader that sees all hosts refuse writes this often meanwhile. */
-export const SHOW_LIFE_MS = 300;
+export const LIVENESS_WRITE_MS = 300;
 /** Nothing written for so long, though the leader would show its life: it does not live. */
 const QUIET_MS = 450;
 
--- a/src/coordination/leadership/leaderTerm.ts
+++ b/src/coordination/leadership/leaderTerm.ts
@@ -1,209 +1,155 @@
-import type { Job } from "../../bookkeeping/jobs.js";
-import { Machine } from "../../bookkeeping/machines.js";
-import { Usage } from "../../bookkeeping/usage.js";
-import type { ReportServerUpdate } from "../../protocol/peers.js";
-import { log } from "../../transport/log.js";
-import { RecordStore, DEFERRED_WRITE_MS } from "./recordStore.js";
-import { Attempts } from "./attempts.js";
-import type { LeaderOptions } from "./leader.js";
-import type { LeadershipLease } from "./election.js";
-import { AcknowledgementLimits } from "../reports/acknowledgementLimits.js";
-import { firstAttempt, firstToken, longestZoneLeaseMs, MIN_ZONE_LEASE_MS } from "./leaseExpiry.js";
-import { FleetUsage } from "../provisioning/fleetUsage.js";
-import type { Estimates } from "../scheduling/estimates.js";
-import { Rounds } from "../magnet/rounds.js";
-import { Scheduler } from "../scheduling/scheduler.js";
-import { Provisioner } from "../provisioning/provisioner.js";
-import { ReportServerRegistry } from "../reports/reportServerRegistry.js";
-import { Supervisor } from "../reports/supervisor.js";
+import type { HeartbeatServerUpdate } from "../../protocol/peers.js";
+import { FleetUsageLog } from "../provisioning/fleetUsageLog.js";
+import type { TermLease } from "../term/termLease.js";
+import { DEFERRED_WRITE_MS } from "../term/writeQueue.js";
+import type { LeaderOptions } from "./leaderOptions.js";
+import { OverloadDetector } from "./overloadDetector.js";
+import { TaskCountPublisher } from "./taskCountPublisher.js";
+import type { TermMessage } from "./termMessage.js";
+import type { TermParts } from "./termParts.js";
 
-/** A leader that is this far behind, for so long, hands over to one that is not. */
-const BEHIND_MS = 700;
-const BEHIND_FOR_MS = 6000;
+/** Machine types are asked for this often once they are known, and before that. */
+const TYPES_EVERY_MS = 60_000;
+const UNKNOWN_TYPES_EVERY_MS = 2000;
+/** The cloud's list is read no more often than this, nor than it changes. */
+const LIST_EVERY_MS = 4000;
+const PUBLISH_EVERY_MS = 1000;
 
-/** What the fleet does is told in the log this often. */
-const LOG_USAGE_MS = 60_000;
-
-/** Everything that one term's leader knows, by the part that owns it. Thrown away whole with the term. */
+/** One leader's term: hands each message and tick to the parts it concerns. Thrown away whole with the term. */
 export class LeaderTerm {
-  loaded = false;
-  over = false;
-  /** Counts jobs that come, go or are cancelled. */
-  jobsVersion = 0;
-  readonly jobs = new Map<string, Job>();
-  readonly machines = new Map<string, Machine>();
-  readonly removed = new Set<string>();
-  readonly usage: Usage;
-  readonly reportServers: ReportServerRegistry;
-  nextAttempt: number;
-  readonly acknowledgementLimits: AcknowledgementLimits;
-  /** Cancellations that were told at this node are known up to that one. */
-  private localCancellationSeq = 0;
+  private readonly taskCounts: TaskCountPublisher;
+  private readonly fleetUsage: FleetUsageLog;
+  private readonly overload: OverloadDetector;
   private lastListMs = -Infinity;
   private lastTypesMs: number;
-  private lastCountsMs = -Infinity;
-  private lastFullCountsMs = -Infinity;
-  private readonly publishedCounts = new Map<Job, { done: number; running: number }>();
-  private behindSinceMs = Infinity;
-  private readonly usageLog = new FleetUsage();
-  private loggedUsageMs: number;
-  readonly startedMs: number;
-  readonly attempts: Attempts;
-  readonly recordStore: RecordStore;
-  readonly supervisor: Supervisor;
-  readonly provisioner: Provisioner;
-  readonly scheduler: Scheduler;
-  readonly rounds: Rounds;
+  private lastPublishMs = -Infinity;
 
   constructor(
-    public lease: LeadershipLease,
-    readonly options: LeaderOptions,
-    private readonly estimates: Estimates,
+    private readonly parts: TermParts,
+    private readonly options: LeaderOptions,
   ) {
-    this.startedMs = options.clock.nowMs();
-    this.loggedUsageMs = this.startedMs;
-    this.usage = new Usage(options.platform.teams);
-    this.nextAttempt = firstAttempt(lease.term);
-    this.lastTypesMs = estimates.typesKnown ? this.startedMs : -Infinity;
-    const { platform } = options;
-    this.acknowledgementLimits = new AcknowledgementLimits(platform);
-    const homeMs = longestZoneLeaseMs(platform.cancelS, platform.leaseS);
-    this.reportServers = new ReportServerRegistry(
-      new Map(platform.peers.map((p) => [p.name, p.zone])),
-      homeMs,
-    );
-    this.attempts = new Attempts(this);
-    this.recordStore = new RecordStore(this, options, estimates);
-    this.supervisor = new Supervisor(this, options, estimates);
-    this.provisioner = new Provisioner(this, options, estimates);
-    this.scheduler = new Scheduler(this, options, estimates);
-    this.rounds = new Rounds(this, options);
+    const { lease, jobs, machines, estimates } = parts;
+    this.lastTypesMs = estimates.typesKnown ? lease.startedMs : -Infinity;
+    this.taskCounts = new TaskCountPublisher(jobs, (counts) => options.onTaskCounts(lease.term, counts));
+    this.fleetUsage = new FleetUsageLog(machines, lease.startedMs);
+    this.overload = new OverloadDetector(lease.startedMs);
   }
 
-  mayWrite(): boolean {
-    return this.options.clock.nowMs() < this.lease.fullUntilMs;
+  get lease(): TermLease {
+    return this.parts.lease;
   }
 
-  /** Until then reports may be acknowledged, as far as we lead and know of cancellations. */
-  ackUntilMs(): number {
-    return Math.min(this.lease.ackUntilMs, this.acknowledgementLimits.untilMs);
+  /** Begins the term: nothing is decided before its records are read. */
+  begin(): void {
+    this.parts.loader.load();
   }
 
-  /** How long a controller may keep that zone's workers alive if it is cut off with them from now on; 0: not at all. */
-  zoneLeaseMs(zone: string, now: number): number {
-    if (!this.loaded || !this.mayWrite()) return 0;
-    const ms = Math.floor(this.acknowledgementLimits.zoneUntilMs(zone) - now);
-    return ms < MIN_ZONE_LEASE_MS ? 0 : ms;
+  handle(message: TermMessage): void {
+    const { deliveryResults, loader, watcher, writer, grants, scheduler, provisioner } = this.parts;
+    switch (message.kind) {
+      case "heartbeat server update":
+        this.receiveUpdate(message.update);
+        break;
+      case "delivery finished":
+        deliveryResults.receive(message.result);
+        break;
+      case "loaded":
+        loader.loaded(message);
+        grants.updateLimits(this.options.clock.nowMs());
+        break;
+      case "watched":
+        watcher.watched(message.outcome, message.sentMs);
+        break;
+      case "reread":
+        writer.reread(message.key, message.item, message.ok);
+        break;
+      case "committed":
+        writer.committed(message.transaction, message.outcome);
+        break;
+      case "cycle":
+        scheduler.runCycle();
+        break;
+      case "write":
+        writer.writeDue();
+        break;
+      case "cloud":
+        provisioner.receiveCloudEvent(message.event);
+        break;
+    }
   }
 
-  /** What other controllers have told users is cancelled, perhaps before we can read it. */
-  learnCancellations(update: ReportServerUpdate, now: number): void {
-    if (update.from === this.options.platform.node)
-      this.localCancellationSeq = Math.max(this.localCancellationSeq, update.cancellationSeq);
-    else this.reportServers.learnCancellations(update, now);
-    for (const { id, at } of update.cancellations) {
-      const job = this.jobs.get(id);
-      if (job && !job.cancelled) this.attempts.cancelJob(job, at);
-    }
+  /** What a controller has acknowledged under our grant (or the heartbeat server beside us by our own lease). */
+  private receiveUpdate(update: HeartbeatServerUpdate): void {
+    const { lease, servers, grants, heartbeats } = this.parts;
+    const nowMs = this.options.clock.nowMs();
+    const isLocal = update.from === this.options.platform.node;
+    if (!isLocal) servers.received(update, nowMs);
+    // Before the records are read we don't know which of them mean anything here; they are sent again until then.
+    if (lease.isLoaded) grants.applyCancellations(update, nowMs);
+    for (const unchanged of update.unchanged)
+      if (!heartbeats.receiveUnchanged(unchanged, update.from, nowMs))
+        servers.requestResync(update.from, nowMs);
+    for (const received of update.heartbeats) heartbeats.receive(received, update.from, nowMs);
+    if (!isLocal) grants.answer(update, nowMs);
   }
 
-  /** Works out anew what may be acknowledged, and tells the report server beside us. */
-  updateLimits(now: number): void {
-    if (!this.loaded) return;
-    const knownMs = this.reportServers.cancelsKnownToMs(this.recordStore.knownToMs);
-    this.acknowledgementLimits.update(knownMs, this.jobs.values(), now, this.options.clock.today());
-    const homeMs = this.zoneLeaseMs(this.options.platform.zone, now);
-    this.options.onLimits({
-      term: this.lease.term,
-      untilMs: this.acknowledgementLimits.untilMs,
-      zoneUntilMs: homeMs > 0 ? now + homeMs : -Infinity,
-      quarantined: this.acknowledgementLimits.quarantined,
-      cancellationSeq: this.localCancellationSeq,
-    });
+  /** Machine types have come; `fromCloud`: from the cloud itself, `changed`: more than prices is new. */
+  typesChanged({ fromCloud, changed }: { fromCloud: boolean; changed: boolean }): void {
+    const { machines, estimates, singletons, writes } = this.parts;
+    for (const machine of machines.values())
+      if (machine.type) machine.type = estimates.typeNamed(machine.type.name) ?? machine.type;
+    const isStored = singletons.typesVersion > 0;
+    if (!fromCloud || (isStored && !changed)) return;
+    singletons.typesDirty = true;
+    writes.requestWrite(0);
   }
 
-  machine(name: string, zone: string): Machine {
-    let machine = this.machines.get(name);
-    if (!machine) {
-      machine = new Machine(name, null, zone, false, firstToken(this.lease.term), this.options.clock.nowMs());
-      this.machines.set(name, machine);
-    }
-    return machine;
+  requestCycle(): void {
+    this.parts.cycles.requestCycle();
   }
 
-  typesChanged(changedByCloud: boolean, fromCloud: boolean): void {
-    for (const machine of this.machines.values())
-      if (machine.type) machine.type = this.estimates.typeNamed(machine.type.name) ?? machine.type;
-    if (changedByCloud || (fromCloud && this.recordStore.typesVersion === 0)) {
-      this.recordStore.typesDirty = true;
-      this.recordStore.requestWrite(0);
-    }
+  /** What has to be looked at by the clock. */
+  tick(nowMs: number): void {
+    const { lease, grants, writer, supervisor, rounds, cycles, jobRecords, writes, operator } = this.parts;
+    this.askForTypes(nowMs);
+    if (!lease.isLoaded) return;
+    this.askForList(nowMs);
+    this.publish(nowMs);
+    grants.updateLimits(nowMs);
+    if (!lease.mayWrite()) return;
+    writer.resume();
+    this.handOverIfOverloaded(nowMs);
+    supervisor.superviseAll(nowMs);
+    if (nowMs - rounds.lastRoundMs > operator.elapseS * 1000) rounds.runRound(nowMs);
+    cycles.requestCycle();
+    if (jobRecords.garbage.size > 0) writes.requestWrite(DEFERRED_WRITE_MS);
   }
 
-  tick(now: number): void {
-    const { platform, operator, cloud } = this.options;
-    if (now - this.lastTypesMs > (this.estimates.typesKnown ? 60_000 : 2000)) {
-      this.lastTypesMs = now;
-      cloud.tell({ kind: "types" });
-    }
-    if (!this.loaded) return;
-    if (now - this.lastListMs > Math.max(4000, platform.listLagS * 1000)) {
-      this.lastListMs = now;
-      cloud.tell({ kind: "list" });
-    }
-    if (now - this.lastCountsMs > 1000) {
-      this.lastCountsMs = now;
-      const self = {
-        node: platform.node,
-        machines: this.options.workerCount(),
-        lagMs: Math.round(this.options.lagMs()),
-      };
-      this.options.onServers(this.reportServers.servers(self, now));
-      this.publishTaskCounts(now);
-      this.logUsage(now);
-    }
-    this.updateLimits(now);
-    if (!this.mayWrite()) return;
-    this.recordStore.resume();
-    this.handOver(now);
-    this.supervisor.superviseAll(now);
-    if (now - this.rounds.lastRoundMs > operator.elapseS * 1000) this.rounds.round(now);
-    this.scheduler.requestCycle();
-    if (this.recordStore.garbage.size > 0) this.recordStore.requestWrite(DEFERRED_WRITE_MS);
+  private askForTypes(nowMs: number): void {
+    const everyMs = this.parts.estimates.typesKnown ? TYPES_EVERY_MS : UNKNOWN_TYPES_EVERY_MS;
+    if (nowMs - this.lastTypesMs <= everyMs) return;
+    this.lastTypesMs = nowMs;
+    this.options.cloud.tell({ kind: "types" });
   }
 
-  private logUsage(now: number): void {
-    this.usageLog.sample(this.machines.values());
-    if (now - this.loggedUsageMs < LOG_USAGE_MS) return;
-    this.loggedUsageMs = now;
-    const summary = this.usageLog.summary();
-    if (summary !== null) log.info(`fleet in the last minute: ${summary}`);
+  private askForList(nowMs: number): void {
+    if (nowMs - this.lastListMs <= Math.max(LIST_EVERY_MS, this.options.platform.listLagS * 1000)) return;
+    this.lastListMs = nowMs;
+    this.options.cloud.tell({ kind: "list" });
   }
 
-  /** A leader that can't keep up makes everybody wait; one that can takes over within a second. */
-  private handOver(now: number): void {
-    const lagMs = this.options.lagMs();
-    if (lagMs < BEHIND_MS) this.behindSinceMs = Infinity;
-    else if (this.behindSinceMs === Infinity) this.behindSinceMs = now;
-    if (now - this.behindSinceMs < BEHIND_FOR_MS || now - this.startedMs < 20_000) return;
-    if (this.reportServers.someoneFaster(lagMs, now)) this.options.onBehind(this.lease.term);
+  private publish(nowMs: number): void {
+    if (nowMs - this.lastPublishMs <= PUBLISH_EVERY_MS) return;
+    this.lastPublishMs = nowMs;
+    this.parts.grants.publishServers(nowMs);
+    this.taskCounts.publish(nowMs);
+    this.fleetUsage.sample(nowMs);
   }
 
-  /** What has changed since it was told last; now and then everything, for whoever has come in between. */
-  private publishTaskCounts(now: number): void {
-    if (now - this.lastFullCountsMs > 10_000) {
-      this.lastFullCountsMs = now;
-      this.publishedCounts.clear();
-    }
-    const jobs = [];
-    for (const job of this.jobs.values()) {
-      const running = job.runningCount();
-      const published = this.publishedCounts.get(job);
-      if (published && published.done === job.doneCount && published.running === running) continue;
-      this.publishedCounts.set(job, { done: job.doneCount, running });
-      jobs.push({ id: job.id, done: job.doneCount, running });
-    }
-    for (let i = 0; i < jobs.length; i += 2000)
-      this.options.onTaskCounts(this.lease.term, jobs.slice(i, i + 2000));
+  /** A leader that can't keep up makes everybody wait; one that can takes over within a second. */
+  private handOverIfOverloaded(nowMs: number): void {
+    const lagMs = this.options.lagMs();
+    if (this.overload.isOverloaded(lagMs, nowMs) && this.parts.servers.someoneFaster(lagMs, nowMs))
+      this.options.onLagging(this.parts.lease.term);
   }
 }
--- a/src/coordination/leadership/leaseExpiry.ts
+++ b/src/coordination/leadership/leaseExpiry.ts
@@ -10,14 +10,14 @@
   /** Highest token a start went out under; -1: this leader has sent none. */
   sentToken: number;
   /** Session that the start named. */
-  sentSession: number;
+  sentEpoch: number;
   /** An older leader may have sent a start that we know nothing of. */
   inherited: boolean;
 }
 
-export interface ReportFacts {
-  session: number;
-  token: number;
+export interface HeartbeatFacts {
+  epoch: number;
+  fencingToken: number;
 }
 
 /**
@@ -27,10 +27,10 @@
  * Once the worker has seen a higher token, it refuses such a start, so what it reports under that
  * higher token stays true. A start is also refused in any session but the one it names.
  */
-export function absenceProves(start: StartFacts, report: ReportFacts, termFloor: number): boolean {
-  if (start.inherited) return report.token >= termFloor && report.token > start.sentToken;
+export function absenceProves(start: StartFacts, report: HeartbeatFacts, termFloor: number): boolean {
+  if (start.inherited) return report.fencingToken >= termFloor && report.fencingToken > start.sentToken;
   if (start.sentToken < 0) return false;
-  return report.session > start.sentSession || report.token > start.sentToken;
+  return report.epoch > start.sentEpoch || report.fencingToken > start.sentToken;
 }
 
 /**
@@ -42,7 +42,7 @@
 }
 
 /** What the leader knows of another controller that acknowledges reports under its grants, in the leader's time. */
-export interface ReportServerFacts {
+export interface HeartbeatServerFacts {
   /** After this it acknowledges nothing. */
   grantUntilMs: number;
   /** Up to here all that it acknowledged is known. */
@@ -59,11 +59,11 @@
  */
 export function leaseOverEverywhereMs(
   lastAckMs: number,
-  servers: Iterable<ReportServerFacts>,
+  servers: Iterable<HeartbeatServerFacts>,
   leaseS: number,
 ): number {
   let fromMs = lastAckMs;
-  const open: ReportServerFacts[] = [];
+  const open: HeartbeatServerFacts[] = [];
   for (const server of servers) {
     fromMs = Math.max(fromMs, server.blindMs);
     open.push(server);
@@ -86,7 +86,7 @@
  * acknowledgement, then, at the latest. So nobody acknowledges anything from the moment that this returns; a machine
  * with a task of a job that is known to be cancelled, from the one counted from that job's cancellation.
  */
-export function ackLimitMs(knownMs: number, cancelS: number, leaseS: number): number {
+export function acknowledgementLimitMs(knownMs: number, cancelS: number, leaseS: number): number {
   return knownMs + (cancelS - leaseS * (1 + 2 * DRIFT)) * 1000 * (1 - 2 * DRIFT) - ACK_MARGIN_MS;
 }
 
@@ -95,7 +95,7 @@
 
 /** The longest that a controller can ever be given its own zone for. */
 export function longestZoneLeaseMs(cancelS: number, leaseS: number): number {
-  const ms = Math.floor(ackLimitMs(0, cancelS, leaseS));
+  const ms = Math.floor(acknowledgementLimitMs(0, cancelS, leaseS));
   return ms < MIN_ZONE_LEASE_MS ? 0 : ms;
 }
 
--- /dev/null
+++ b/src/coordination/leadership/termMessage.ts
@@ -0,0 +1,15 @@
+import type { DeliveryResult } from "../../protocol/model.js";
+import type { HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { CloudEvent } from "../provisioning/cloudClient.js";
+import type { RecordMessage } from "../records/recordMessages.js";
+
+/** What concerns one term: dropped once the term is over. */
+export type TermMessage =
+  | RecordMessage
+  | { kind: "heartbeat server update"; update: HeartbeatServerUpdate }
+  | { kind: "delivery finished"; result: DeliveryResult }
+  | { kind: "cloud"; event: Exclude<CloudEvent, { kind: "types" }> }
+  /** A scheduling cycle is due. */
+  | { kind: "cycle" }
+  /** A write to the state store is due. */
+  | { kind: "write" };
--- /dev/null
+++ b/src/coordination/machines/machineLeases.ts
@@ -0,0 +1,23 @@
+import type { Machine } from "../../bookkeeping/machines.js";
+import type { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
+import { leaseOverEverywhereMs, leaseOverMs } from "../leadership/leaseExpiry.js";
+import type { TermLease } from "../term/termLease.js";
+
+/** Proves that the lease of a silent machine's worker has expired (rule `ran_twice`); silence alone proves nothing. */
+export class MachineLeases {
+  constructor(
+    private readonly lease: TermLease,
+    private readonly servers: HeartbeatServerRegistry,
+    /** The workers' lease, in seconds. */
+    private readonly leaseS: number,
+  ) {}
+
+  hasExpired(machine: Machine, nowMs: number): boolean {
+    const { earlierLeadersSilentFromMs } = this.lease;
+    // Nobody of an earlier term can have renewed it after that.
+    const lastAcknowledgedMs = Math.max(machine.lastAckMs, earlierLeadersSilentFromMs);
+    if (nowMs < leaseOverMs(lastAcknowledgedMs, this.leaseS)) return false;
+    const facts = this.servers.facts(machine.zone, earlierLeadersSilentFromMs);
+    return nowMs >= leaseOverEverywhereMs(lastAcknowledgedMs, facts, this.leaseS);
+  }
+}
--- /dev/null
+++ b/src/coordination/machines/reconciliation.ts
@@ -0,0 +1,173 @@
+import type { Attempt, Job } from "../../bookkeeping/jobs.js";
+import type { Machine } from "../../bookkeeping/machines.js";
+import type { TaskStatus } from "../../protocol/model.js";
+import type { Clock } from "../../transport/clock.js";
+import { log } from "../../transport/log.js";
+import { absenceProves, firstToken } from "../leadership/leaseExpiry.js";
+import type { Estimates } from "../scheduling/estimates.js";
+import type { Attempts, CommandQueue } from "../term/attempts.js";
+import type { JobRegistry } from "../term/jobRegistry.js";
+import type { TermLease } from "../term/termLease.js";
+import type { Cordon } from "./cordon.js";
+
+/** A machine on which a task failed, had no room or was still in use is avoided by its job for so long. */
+const AVOID_AFTER_ERROR_MS = 60_000;
+const AVOID_WITHOUT_ROOM_MS = 2000;
+const AVOID_IN_USE_MS = 3000;
+/** A job that the worker did not know is tried again after this. */
+const RETRY_UNKNOWN_MS = 1000;
+/** A job that fails again and again is tried less and less often: first after this, at the latest after that. */
+const FIRST_RETRY_MS = 100;
+const MAX_RETRY_MS = 15_000;
+const MAX_RETRY_DOUBLINGS = 8;
+/** A start that was sent longer ago than this and is not listed is asked about under a higher fencing token. */
+const LISTED_WITHIN_MS = 1000;
+
+/** What reconciliation uses of the term. */
+export interface ReconciliationContext {
+  clock: Clock;
+  lease: TermLease;
+  jobs: JobRegistry;
+  attempts: Attempts;
+  commands: CommandQueue;
+  estimates: Estimates;
+  cordon: Cordon;
+}
+
+/**
+ * Squares what the leader has planned for a machine with what its newest heartbeat lists: attempts that are there, that
+ * have ended, and that are proved gone by their absence (rule `ran_twice`).
+ */
+export class Reconciliation {
+  constructor(private readonly context: ReconciliationContext) {}
+
+  /** Draws conclusions from the newest heartbeat; true when the next answer should carry a higher fencing token. */
+  reconcile(machine: Machine): boolean {
+    const listed = this.listedAttempts(machine);
+    let raiseToken = false;
+    for (const attempt of [...machine.attempts]) {
+      const status = listed.get(attempt);
+      if (!status) raiseToken = this.reconcileAbsent(attempt, machine) || raiseToken;
+      else if (status.phase === "exited") this.attemptExited(attempt, status);
+      else this.attemptSeen(attempt, status.phase);
+    }
+    this.takeOverResults(machine);
+    return raiseToken;
+  }
+
+  /** The machine's attempts that its newest heartbeat lists. */
+  private listedAttempts(machine: Machine): Map<Attempt, TaskStatus> {
+    const listed = new Map<Attempt, TaskStatus>();
+    for (const status of machine.reportedTasks) {
+      const attempt = this.context.jobs.get(status.jobId)?.attemptOf(status.task);
+      if (attempt && attempt.number === status.attempt && attempt.machine === machine)
+        listed.set(attempt, status);
+    }
+    return listed;
+  }
+
+  /** The attempt is not listed; true when only a heartbeat under a higher fencing token can prove it gone. */
+  private reconcileAbsent(attempt: Attempt, machine: Machine): boolean {
+    const { clock, lease, attempts, commands } = this.context;
+    const heartbeat = { epoch: machine.epoch, fencingToken: machine.seenToken };
+    if (absenceProves(attempt, heartbeat, firstToken(lease.term))) {
+      const neverSeen = attempt.phase === null && !attempt.stop;
+      if (!attempt.inherited && neverSeen && attempt.sentEpoch === machine.epoch) {
+        // Certainly not there and never was: the same start may be sent anew.
+        attempt.sentToken = -1;
+        commands.sendCommands(machine);
+      } else attempts.markLost(attempt);
+      return false;
+    }
+    const shouldBeListed =
+      attempt.sentToken >= 0 &&
+      (attempt.phase !== null || attempt.stop !== null) &&
+      clock.nowMs() - attempt.sentMs > LISTED_WITHIN_MS;
+    return (attempt.inherited || shouldBeListed) && attempt.sentToken >= machine.fencingToken;
+  }
+
+  /** A result counts whichever attempt brought it. */
+  private takeOverResults(machine: Machine): void {
+    for (const status of machine.reportedTasks) {
+      if (status.phase !== "exited" || status.cause !== "done") continue;
+      const job = this.context.jobs.get(status.jobId);
+      if (job && !job.isDone(status.task) && !job.attemptOf(status.task))
+        this.context.attempts.markTaskDone(job, status.task);
+    }
+  }
+
+  private attemptSeen(attempt: Attempt, phase: Exclude<TaskStatus["phase"], "exited">): void {
+    const { job, machine } = attempt;
+    attempt.inherited = false;
+    if (attempt.sentToken < 0) {
+      // Started by an earlier leader: guard against that one's copies, too.
+      attempt.sentToken = firstToken(this.context.lease.term) - 1;
+      attempt.sentEpoch = machine.epoch;
+    }
+    if (phase !== "fetching" && machine.fetching.has(job.spec.image)) machine.imageReady(job.spec.image);
+    if (phase === "running" && attempt.runningMs === null) this.noteRunning(attempt);
+    attempt.phase = phase;
+    if (job.cancelled && !attempt.stop) this.context.attempts.stopAttempt(attempt, 0);
+  }
+
+  private noteRunning(attempt: Attempt): void {
+    const { job, machine } = attempt;
+    const nowMs = this.context.clock.nowMs();
+    attempt.runningMs = nowMs;
+    log.debug(
+      () =>
+        `${job.id}/${attempt.task} (${job.spec.className}) runs on ${machine.name}, ` +
+        `${((nowMs - job.submittedMs) / 1000).toFixed(2)} s after its submission, ${((nowMs - attempt.plannedMs) / 1000).toFixed(2)} s after its plan`,
+    );
+  }
+
+  private attemptExited(attempt: Attempt, status: TaskStatus): void {
+    const { job, machine } = attempt;
+    const { attempts, estimates } = this.context;
+    const nowMs = this.context.clock.nowMs();
+    const ranS = attempt.runningMs === null ? 0 : (nowMs - attempt.runningMs) / 1000;
+    // A task that ran had its image.
+    if (status.cause === "done" || status.cause === "error") machine.imageReady(job.spec.image);
+    attempts.confirmGone(attempt);
+    if (status.cause === "done") {
+      machine.failures.clear();
+      if (ranS > 0) estimates.runTimes.recordRun(job.spec.className, ranS, job.spec.estimateS);
+      attempts.markTaskDone(job, attempt.task);
+      return;
+    }
+    noteFailure(job, machine, status.cause, nowMs);
+    if (status.cause === "error") this.context.cordon.cordonIfFaulty(machine);
+    if (job.spec.kind === "gang") attempts.breakGang(job);
+  }
+}
+
+/** Notes on the job where and when it should be tried again. */
+function noteFailure(job: Job, machine: Machine, cause: TaskStatus["cause"], nowMs: number): void {
+  switch (cause) {
+    case "error":
+      job.errors++;
+      job.failedOn.add(machine.name);
+      machine.failures.set(job.id, (machine.failures.get(job.id) ?? 0) + 1);
+      job.avoid.set(machine.name, nowMs + AVOID_AFTER_ERROR_MS);
+      // A job with a mistake fails everywhere: try it less and less often.
+      job.notBeforeMs = nowMs + retryDelayMs(job.errors);
+      break;
+    case "no_room":
+      job.avoid.set(machine.name, nowMs + AVOID_WITHOUT_ROOM_MS);
+      break;
+    case "in_use":
+      job.avoid.set(machine.name, nowMs + AVOID_IN_USE_MS);
+      break;
+    case "unknown":
+      job.notBeforeMs = nowMs + RETRY_UNKNOWN_MS;
+      break;
+    default:
+      break;
+  }
+}
+
+/** Pause before a job with so many errors is tried again: the first two errors count as bad luck. */
+function retryDelayMs(errors: number): number {
+  const doublings = Math.min(MAX_RETRY_DOUBLINGS, Math.max(0, errors - 2));
+  return Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** doublings);
+}
--- a/src/coordination/reports/silenceCounts.ts
+++ b/src/coordination/machines/silenceCounts.ts
@@ -22,9 +22,9 @@
     for (const machine of machines) {
       if (machine.state !== "up") continue;
       if (machine.spot) spotMachinesUp++;
-      const silent = nowMs - machine.lastHeardMs > suspectS * 1000;
+      const silent = nowMs - machine.lastContactMs > suspectS * 1000;
       addTo(this.zones, machine.zone, silent);
-      addTo(this.servers, machine.server ?? "", silent);
+      addTo(this.servers, machine.heartbeatServer ?? "", silent);
     }
     this.spotMachinesUp = spotMachinesUp;
   }
@@ -37,7 +37,7 @@
 
   /** Are many of the machines silent that the same controller serves? */
   manyOfServer(machine: Machine): boolean {
-    const server = this.servers.get(machine.server ?? "");
+    const server = this.servers.get(machine.heartbeatServer ?? "");
     return server !== undefined && server.silent >= MIN_SILENT_AT_SERVER && server.silent * 4 >= server.up;
   }
 }
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -1,11 +1,11 @@
 import type { ListedMachine, MachineType } from "../../protocol/model.js";
 import {
   cloudPaths,
-  decodeListed,
-  decodeRented,
-  decodeTypes,
-  encodeRemove,
-  encodeRent,
+  decodeMachineList,
+  decodeCreatedMachines,
+  decodeMachineTypes,
+  encodeDeleteMachines,
+  encodeCreateMachines,
   isNoCapacity,
 } from "../../protocol/cloud.js";
 import { TokenBucket } from "../../transport/tokenBucket.js";
@@ -14,7 +14,7 @@
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
 
-export interface RentOrder {
+export interface ScaleOutOrder {
   /** Never used again by anybody: made of the term and a counter. */
   request: string;
   type: string;
@@ -23,15 +23,15 @@
   count: number;
 }
 
-export type CloudNews =
+export type CloudEvent =
   | { kind: "types"; types: MachineType[]; stored?: boolean }
   | { kind: "listed"; machines: ListedMachine[]; askedMs: number }
-  | { kind: "rented"; order: RentOrder; names: string[] }
-  | { kind: "no capacity"; order: RentOrder }
+  | { kind: "rented"; order: ScaleOutOrder; names: string[] }
+  | { kind: "no capacity"; order: ScaleOutOrder }
   | { kind: "removed"; names: string[] };
 
 type Message =
-  | { kind: "rent"; order: RentOrder }
+  | { kind: "rent"; order: ScaleOutOrder }
   | { kind: "remove"; names: string[] }
   | { kind: "list" }
   | { kind: "types" }
@@ -40,7 +40,7 @@
   | { kind: "reply"; work: Work; reply: Reply | null; askedMs: number };
 
 type Work =
-  | { kind: "rent"; order: RentOrder }
+  | { kind: "rent"; order: ScaleOutOrder }
   | { kind: "remove"; names: string[] }
   | { kind: "list"; after: string; found: ListedMachine[]; askedMs: number }
   | { kind: "types" };
@@ -56,7 +56,7 @@
  */
 export class CloudClient extends Actor<Message> {
   private readonly bucket: TokenBucket;
-  private readonly rents: RentOrder[] = [];
+  private readonly rents: ScaleOutOrder[] = [];
   private readonly removals = new Set<string>();
   private wantList = false;
   private wantTypes = false;
@@ -72,7 +72,7 @@
     private readonly clock: Clock,
     private readonly address: string,
     rps: number,
-    private readonly onNews: (news: CloudNews) => void,
+    private readonly onEvent: (news: CloudEvent) => void,
   ) {
     super();
     this.bucket = new TokenBucket(rps * 0.85, Math.max(1, rps * 1.2), clock.nowMs());
@@ -178,23 +178,23 @@
         const order = work.order;
         return [
           "POST",
-          cloudPaths.rent,
-          encodeRent(order.request, order.type, order.zone, order.spot, order.count),
+          cloudPaths.createMachines,
+          encodeCreateMachines(order.request, order.type, order.zone, order.spot, order.count),
         ];
       }
       case "remove":
-        return ["POST", cloudPaths.remove, encodeRemove(work.names)];
+        return ["POST", cloudPaths.deleteMachines, encodeDeleteMachines(work.names)];
       case "list":
-        return ["GET", cloudPaths.list(work.after, PAGE), undefined];
+        return ["GET", cloudPaths.listMachines(work.after, PAGE), undefined];
       case "types":
-        return ["GET", cloudPaths.types, undefined];
+        return ["GET", cloudPaths.machineTypes, undefined];
     }
   }
 
   private answered(work: Work, reply: Reply | null, askedMs: number): void {
     if (work.kind === "rent" && reply?.status === 503 && isNoCapacity(reply.body)) {
       this.backoffMs = 0;
-      this.onNews({ kind: "no capacity", order: work.order });
+      this.onEvent({ kind: "no capacity", order: work.order });
       return;
     }
     if (reply?.status === 200) {
@@ -204,7 +204,7 @@
     }
     if (reply?.status === 400) {
       log.error(`cloud: ${work.kind} was malformed: ${JSON.stringify(work)}`);
-      if (work.kind === "rent") this.onNews({ kind: "no capacity", order: work.order });
+      if (work.kind === "rent") this.onEvent({ kind: "no capacity", order: work.order });
       return;
     }
     // Refused for now, or no answer: once more after a pause.
@@ -220,23 +220,23 @@
   private succeeded(work: Work, body: unknown): void {
     switch (work.kind) {
       case "rent":
-        this.onNews({ kind: "rented", order: work.order, names: decodeRented(body) ?? [] });
+        this.onEvent({ kind: "rented", order: work.order, names: decodeCreatedMachines(body) ?? [] });
         break;
       case "remove":
-        this.onNews({ kind: "removed", names: work.names });
+        this.onEvent({ kind: "removed", names: work.names });
         break;
       case "types": {
-        const types = decodeTypes(body);
-        if (types) this.onNews({ kind: "types", types });
+        const types = decodeMachineTypes(body);
+        if (types) this.onEvent({ kind: "types", types });
         break;
       }
       case "list": {
-        const page = decodeListed(body);
+        const page = decodeMachineList(body);
         if (!page) break;
         const found = [...work.found, ...page.machines];
         const last = page.machines.at(-1);
         if (page.more && last) this.listing = { ...work, after: last.name, found };
-        else this.onNews({ kind: "listed", machines: found, askedMs: work.askedMs });
+        else this.onEvent({ kind: "listed", machines: found, askedMs: work.askedMs });
         break;
       }
     }
--- a/src/coordination/provisioning/fleetUsage.ts
+++ b/src/coordination/provisioning/fleetUsageLog.ts
@@ -1,5 +1,7 @@
 import type { Machine } from "../../bookkeeping/machines.js";
-import { loadOf } from "../magnet/rings.js";
+import { log } from "../../transport/log.js";
+import type { MachineRegistry } from "../term/machineRegistry.js";
+import { loadOf } from "../consolidation/rings.js";
 
 interface Sum {
   machines: number;
@@ -8,12 +10,29 @@
   preparing: number;
 }
 
-/** Adds up what the paid machines do, kind by kind, for the log: where money goes that no work has. */
-export class FleetUsage {
+/** The log is told this often what the fleet does. */
+const LOG_EVERY_MS = 60_000;
+
+/** Logs what the paid machines do, kind by kind: where money goes that no work has. */
+export class FleetUsageLog {
   private readonly sums = new Map<string, Sum>();
   private samples = 0;
 
-  sample(machines: Iterable<Machine>): void {
+  constructor(
+    private readonly machines: MachineRegistry,
+    private loggedMs: number,
+  ) {}
+
+  /** Adds up what the machines do at this moment; now and then the sum is logged. */
+  sample(nowMs: number): void {
+    this.addSample(this.machines.values());
+    if (nowMs - this.loggedMs < LOG_EVERY_MS) return;
+    this.loggedMs = nowMs;
+    const summary = this.summary();
+    if (summary !== null) log.info(`fleet in the last minute: ${summary}`);
+  }
+
+  private addSample(machines: Iterable<Machine>): void {
     this.samples++;
     for (const machine of machines) {
       if (!machine.type || machine.state === "leaving") continue;
@@ -42,7 +61,7 @@
   }
 
   /** What has been seen since it was told last; null: nothing. */
-  summary(): string | null {
+  private summary(): string | null {
     if (this.sums.size === 0) return null;
     const parts = [];
     for (const [kind, sum] of [...this.sums].sort((a, b) => (a[0] < b[0] ? -1 : 1))) {
--- a/src/coordination/provisioning/rentalPlan.ts
+++ b/src/coordination/provisioning/scaleOutPlan.ts
@@ -1,25 +1,25 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
-import type { Claim, JobView, MachineView } from "../scheduling/views.js";
+import type { AcceleratorReserve, JobView, MachineView } from "../scheduling/views.js";
 import { allows, emptyView, fits, howMany, takeFrom, zoneRoom } from "../scheduling/views.js";
 
-export interface RentTarget {
+export interface ScaleOutTarget {
   type: string;
   zone: string;
   spot: boolean;
   count: number;
 }
 
-export interface RentalInput {
+export interface ScaleOutInput {
   /** A gang's rest is wanted in that zone. */
   unplaced: { job: JobView; tasks: number; zone: string | null }[];
   types: MachineType[];
   /** Machines on their way, rented or asked for. */
-  coming: MachineView[];
+  incoming: MachineView[];
   /** True while the cloud has lately had none of these. */
   refused: (type: string, zone: string, spot: boolean) => boolean;
   maxMachines: number;
   /** What work with accelerators wants there; null: none of it may come. */
-  claim: (type: MachineType, spot: boolean) => Claim | null;
+  acceleratorReserve: (type: MachineType, spot: boolean) => AcceleratorReserve | null;
 }
 
 /**
@@ -32,9 +32,9 @@
  * What to rent for the work that found no place: first what is on its way is filled, in thought, and only
  * what is still left rents more, at the lowest price for each task that the machine would really hold. Pure.
  */
-export function planRentals(input: RentalInput): RentTarget[] {
-  const targets = new Map<string, RentTarget>();
-  const virtual = [...input.coming];
+export function planScaleOut(input: ScaleOutInput): ScaleOutTarget[] {
+  const targets = new Map<string, ScaleOutTarget>();
+  const virtual = [...input.incoming];
   let machines = 0;
   for (const { job, tasks, zone: only } of input.unplaced) {
     const { spec } = job;
@@ -49,7 +49,7 @@
     };
     for (const m of virtual) {
       if (left <= 0) break;
-      if ((spec.gpus === 0 && m.claim) || (only !== null && m.zone !== only)) continue;
+      if ((spec.gpus === 0 && m.acceleratorReserve) || (only !== null && m.zone !== only)) continue;
       if (allows(spec, m.type.name, m.zone, m.spot) && fits(spec, m.free)) put(m);
     }
     const cheapest = ordinaryPrice(spec, input.types);
@@ -65,7 +65,7 @@
           if (room <= 0) continue;
           for (const spot of spec.spot ? [true, false] : [false]) {
             if (!allows(spec, type.name, zone, spot) || input.refused(type.name, zone, spot)) continue;
-            if (spec.gpus === 0 && type.gpus > 0 && input.claim(type, spot)) continue;
+            if (spec.gpus === 0 && type.gpus > 0 && input.acceleratorReserve(type, spot)) continue;
             const used = Math.min(holds, left, room);
             const price = spot ? type.spotPrice : type.price;
             if (price / holds > cheapest * MAX_PRICE_FACTOR) continue;
@@ -81,7 +81,7 @@
       target.count++;
       targets.set(key, target);
       machines++;
-      const fresh = emptyView(type, zone, spot, input.claim(type, spot));
+      const fresh = emptyView(type, zone, spot, input.acceleratorReserve(type, spot));
       virtual.push(fresh);
       put(fresh);
     }
--- /dev/null
+++ b/src/coordination/records/recordLoader.ts
@@ -0,0 +1,121 @@
+import type { MachineType } from "../../protocol/model.js";
+import { decodeMachineTypes } from "../../protocol/cloud.js";
+import { keys } from "../../bookkeeping/records.js";
+import type { Item, ListOutcome, StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
+import type { Clock } from "../../transport/clock.js";
+import { log } from "../../transport/log.js";
+import type { Reconciliation } from "../machines/reconciliation.js";
+import type { Estimates } from "../scheduling/estimates.js";
+import type { Attempts } from "../term/attempts.js";
+import type { CycleRequests } from "../term/cycleRequests.js";
+import type { JobRegistry } from "../term/jobRegistry.js";
+import type { MachineRegistry } from "../term/machineRegistry.js";
+import type { TermLease } from "../term/termLease.js";
+import type { WriteRequests } from "../term/writeQueue.js";
+import type { JobRecords } from "./jobRecords.js";
+import type { LoadedRecords } from "./recordMessages.js";
+import type { RecordWatcher } from "./recordWatcher.js";
+import type { SingletonRecords } from "./singletonRecords.js";
+
+/** So long the reading of all records may take before it is begun anew. */
+const LOAD_MS = 4000;
+/** Reading that failed is tried again after this. */
+const RETRY_MS = 200;
+
+/** What the loader uses of the term. */
+export interface RecordLoaderContext {
+  clock: Clock;
+  lease: TermLease;
+  stateStore: StateStoreClient;
+  jobs: JobRegistry;
+  machines: MachineRegistry;
+  attempts: Attempts;
+  estimates: Estimates;
+  reconciliation: Reconciliation;
+  writes: WriteRequests;
+  cycles: CycleRequests;
+  watcher: RecordWatcher;
+  jobRecords: JobRecords;
+  singletons: SingletonRecords;
+  /** Machine types as an earlier leader stored them. */
+  onStoredTypes: (types: MachineType[]) => void;
+  tell: (message: LoadedRecords) => void;
+}
+
+/** Reads the term's records when it begins: until that is done, the leader knows nothing and acknowledges nothing. */
+export class RecordLoader {
+  constructor(private readonly context: RecordLoaderContext) {}
+
+  /** Begins to read; what comes back arrives by `tell`. */
+  load(): void {
+    const sentMs = this.context.clock.nowMs();
+    void this.read(sentMs).then((loaded) => this.context.tell(loaded));
+  }
+
+  private async read(sentMs: number): Promise<LoadedRecords> {
+    const deadlineMs = sentMs + LOAD_MS;
+    const [{ heads, chunks }, singletons] = await Promise.all([
+      this.readJobs(deadlineMs),
+      this.readSingletons(deadlineMs),
+    ]);
+    return { kind: "loaded", heads, chunks, singletons, sentMs };
+  }
+
+  /** Heads before chunks: a chunk whose job is not among the heads is then certainly nobody's. */
+  private async readJobs(deadlineMs: number): Promise<{ heads: ListOutcome; chunks: ListOutcome }> {
+    const heads = await this.context.stateStore.list(keys.live, deadlineMs);
+    const chunks = await this.context.stateStore.list(keys.chunks, deadlineMs);
+    return { heads, chunks };
+  }
+
+  private async readSingletons(deadlineMs: number): Promise<Item[] | null> {
+    const items: Item[] = [];
+    for (const key of [keys.types, keys.moves]) {
+      const outcome = await this.context.stateStore.get(key, deadlineMs);
+      if (outcome.kind === "failed") return null;
+      if (outcome.kind === "found") items.push(outcome.item);
+    }
+    return items;
+  }
+
+  /** Takes over what was read; from here on the term leads. */
+  loaded({ heads, chunks, singletons, sentMs }: LoadedRecords): void {
+    const { clock, lease, jobs, machines, jobRecords, watcher } = this.context;
+    if (heads.kind === "failed" || chunks.kind === "failed" || !singletons) {
+      clock.after(RETRY_MS, () => {
+        if (!lease.isOver) this.load();
+      });
+      return;
+    }
+    for (const item of singletons) this.applySingleton(item);
+    for (const item of heads.items) jobRecords.applyHead(item);
+    for (const item of chunks.items) jobRecords.loadChunk(item);
+    lease.markLoaded();
+    log.info(`term ${lease.term}: ${jobs.size} live jobs, ${machines.size} machines known`);
+    this.catchUp();
+    // What came up while we read (the types, first of all) has waited for this.
+    this.context.writes.requestWrite(0);
+    watcher.begin(heads.revision, sentMs);
+    this.context.cycles.requestCycle();
+  }
+
+  private applySingleton(item: Item): void {
+    const { singletons, estimates } = this.context;
+    if (item.key === keys.moves) {
+      singletons.movesVersion = item.version;
+      return;
+    }
+    singletons.typesVersion = item.version;
+    const types = decodeMachineTypes(item.value);
+    if (types && !estimates.typesKnown) this.context.onStoredTypes(types);
+  }
+
+  /** Draws the conclusions that waited for the records. */
+  private catchUp(): void {
+    const { jobs, machines, attempts, reconciliation } = this.context;
+    for (const machine of machines.values()) if (machine.state === "up") reconciliation.reconcile(machine);
+    // A gang that had lost a member, and whose leader ended before it had stopped the others: they would wait for it alone.
+    for (const job of jobs.values())
+      if (job.spec.kind === "gang" && job.attempts.size > 0 && job.pending > 0) attempts.breakGang(job);
+  }
+}
--- a/src/coordination/scheduling/estimates.ts
+++ b/src/coordination/scheduling/estimates.ts
@@ -1,14 +1,14 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
-import { Learner } from "./runTimeLearner.js";
-import type { Claim } from "./views.js";
+import { RunTimeEstimator } from "./runTimeEstimator.js";
+import type { AcceleratorReserve } from "./views.js";
 
 /** What a controller knows whatever the term: machine types, and what the days have taught. */
 export class Estimates {
   types: MachineType[] = [];
   typesKnown = false;
-  readonly learner = new Learner();
+  readonly runTimes = new RunTimeEstimator();
   /** Counts changes of what `claimOn` answers. */
-  claims = 0;
+  acceleratorReserveRevision = 0;
   private readonly gpuClasses = new Map<string, JobSpec>();
 
   /** Spot machines taken with notice, and how long all of them ran; begins with a guess of one in an hour. */
@@ -32,31 +32,31 @@
     return changed;
   }
 
-  spotTaken(): void {
+  recordSpotInterruption(): void {
     this.taken++;
   }
 
   /** So many spot machines are up now. */
-  spotRan(machines: number, nowMs: number): void {
+  recordSpotUptime(machines: number, nowMs: number): void {
     const sinceMs = nowMs - this.spotSeenMs;
     if (sinceMs < 2000) this.spotH += (machines * sinceMs) / 3_600_000;
     this.spotSeenMs = nowMs;
   }
 
-  get takenPerH(): number {
+  get interruptionsPerHour(): number {
     return this.taken / this.spotH;
   }
 
   /** Remembers what work with accelerators looks like, class by class. */
-  profile(spec: JobSpec): void {
+  recordAcceleratorJob(spec: JobSpec): void {
     if (spec.gpus <= 0 || this.gpuClasses.has(spec.className)) return;
-    this.claims++;
+    this.acceleratorReserveRevision++;
     this.gpuClasses.set(spec.className, spec);
   }
 
-  claimOn(type: MachineType, spot: boolean): Claim | null {
+  acceleratorReserveOn(type: MachineType, spot: boolean): AcceleratorReserve | null {
     if (type.gpus <= 0) return null;
-    let claim: Claim | null = null;
+    let claim: AcceleratorReserve | null = null;
     for (const spec of this.gpuClasses.values()) {
       if ((spec.types !== null && !spec.types.includes(type.name)) || (spot && !spec.spot)) continue;
       claim ??= { cpus: 0, memoryGb: 0 };
--- a/src/coordination/scheduling/failureDetection.ts
+++ b/src/coordination/scheduling/failureDetection.ts
@@ -5,7 +5,7 @@
 const MISTAKE_MACHINES = 3;
 
 /** Does the job fail wherever it starts? Then no machine is to blame, and it gets little room. Pure. */
-export function looksMistaken(job: Job): boolean {
+export function jobLooksFaulty(job: Job): boolean {
   return (
     job.failedOn.size > MISTAKE_MACHINES &&
     job.doneCount === 0 &&
@@ -14,13 +14,13 @@
 }
 
 /** Failures of jobs that run well elsewhere count double, those of jobs that fail everywhere not at all. Pure. */
-export function looksFaulty(machine: Machine, jobs: Map<string, Job>): boolean {
+export function machineLooksFaulty(machine: Machine, jobs: ReadonlyMap<string, Job>): boolean {
   let score = 0;
   let proven = 0;
   let counted = 0;
   for (const [id, n] of machine.failures) {
     const job = jobs.get(id);
-    if (job && looksMistaken(job)) continue;
+    if (job && jobLooksFaulty(job)) continue;
     const well =
       job !== undefined &&
       (job.doneCount > 0 || [...job.attempts].some((a) => a.machine !== machine && a.phase === "running"));
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "../../protocol/model.js";
-import type { Amount } from "../../bookkeeping/machines.js";
+import type { Resources } from "../../bookkeeping/machines.js";
 import { groupBy } from "./groupBy.js";
 import { fetchDelayS, placementCost, roomFor } from "./placementCost.js";
 import type { PlacementInput, PlacementPlan, Reservation } from "./placementPlan.js";
@@ -28,7 +28,7 @@
     evictions: [],
     unplaced: [],
     reservations: [],
-    touched: new Set(),
+    modifiedMachines: new Set(),
     machinesExamined: 0,
   };
   private readonly byName = new Map<string, MachineView>();
@@ -49,20 +49,20 @@
     }
     for (const machine of input.machines) {
       this.byName.set(machine.name, machine);
-      machine.held = null;
+      machine.reserved = null;
     }
     this.reservations = groupBy(input.reservations, (reservation) => reservation.jobId);
     const wanted = new Map(input.jobs.map((j) => [j.spec.id, j.spec]));
     for (const { jobId, machine: name, tasks, etaS } of input.reservations) {
       const machine = this.byName.get(name);
       const spec = wanted.get(jobId);
-      if (machine && !machine.held && spec) this.setAside(machine, spec, tasks, etaS);
+      if (machine && !machine.reserved && spec) this.setAside(machine, spec, tasks, etaS);
     }
     this.plan.machinesExamined += input.machines.length;
     this.open = input.machines.filter(
       (m) =>
-        m.free.cpus + (m.held?.amount.cpus ?? 0) >= cpus - 1e-6 &&
-        m.free.memoryGb + (m.held?.amount.memoryGb ?? 0) >= memoryGb - 1e-6,
+        m.free.cpus + (m.reserved?.amount.cpus ?? 0) >= cpus - 1e-6 &&
+        m.free.memoryGb + (m.reserved?.amount.memoryGb ?? 0) >= memoryGb - 1e-6,
     );
   }
 
@@ -70,8 +70,8 @@
     for (const job of this.input.jobs) this.placeJob(job);
     // What the shares of others leave is for whoever can use it.
     for (const job of this.input.jobs) {
-      if (job.share >= Math.min(job.pending, job.limit)) continue;
-      job.share = Infinity;
+      if (job.fairShareTasks >= Math.min(job.pending, job.taskLimit)) continue;
+      job.fairShareTasks = Infinity;
       this.placeJob(job);
     }
     return this.plan;
@@ -79,18 +79,18 @@
 
   /** Takes room out of what others may have. */
   private setAside(machine: MachineView, spec: JobSpec, tasks: number, etaS: number): void {
-    this.plan.touched.add(machine);
+    this.plan.modifiedMachines.add(machine);
     takeFrom(machine.free, spec, tasks);
-    const amount = machine.held?.amount ?? { cpus: 0, gpus: 0, memoryGb: 0 };
+    const amount = machine.reserved?.amount ?? { cpus: 0, gpus: 0, memoryGb: 0 };
     takeFrom(amount, spec, -tasks);
-    machine.held = { jobId: spec.id, amount, etaS: Math.max(etaS, machine.held?.etaS ?? 0) };
+    machine.reserved = { jobId: spec.id, amount, etaS: Math.max(etaS, machine.reserved?.etaS ?? 0) };
   }
 
   private releaseReserved(machine: MachineView): void {
-    if (!machine.held) return;
-    this.plan.touched.add(machine);
-    addTo(machine.free, machine.held.amount);
-    machine.held = null;
+    if (!machine.reserved) return;
+    this.plan.modifiedMachines.add(machine);
+    addTo(machine.free, machine.reserved.amount);
+    machine.reserved = null;
   }
 
   private placeJob(job: JobView): void {
@@ -99,9 +99,9 @@
     const mine = this.reservations.get(spec.id) ?? [];
     for (const reservation of mine) {
       const machine = this.byName.get(reservation.machine);
-      if (machine?.held?.jobId === spec.id) this.releaseReserved(machine);
+      if (machine?.reserved?.jobId === spec.id) this.releaseReserved(machine);
     }
-    const wanted = Math.min(job.pending, job.limit, job.share);
+    const wanted = Math.min(job.pending, job.taskLimit, job.fairShareTasks);
     const allowed = quota.room(spec);
     if (spec.kind === "gang") {
       if (wanted < spec.tasks) return;
@@ -114,7 +114,7 @@
     let want = Math.min(wanted, allowed);
     if (want <= 0) return;
     // Room where its image lies, even if lesser work has to make it, comes before waiting for a fetch elsewhere.
-    const quick = job.quickS;
+    const quick = job.waitTargetLeftS;
     if (quick !== null) want -= this.planStarts(job, this.choose(job, want, quick));
     if (want > 0) want -= this.keepReserved(job, mine, want);
     if (quick !== null && want > 0) want -= this.makeRoom(job, want, quick);
@@ -140,7 +140,7 @@
     const { spec } = job;
     if (
       tasks <= 0 ||
-      job.quickS === null ||
+      job.waitTargetLeftS === null ||
       this.preemptors >= this.input.maxPreemptors ||
       !this.input.mayStop(job)
     )
@@ -160,7 +160,7 @@
     }
     if (options.length === 0) this.noVictimsFor.add(shape);
     options.sort((a, b) => a.victim.priority - b.victim.priority || a.lossS - b.lossS);
-    const missing: Amount = { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memoryGb: 0 };
+    const missing: Resources = { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memoryGb: 0 };
     for (const { machine, victim } of options) {
       if (missing.cpus <= 1e-6 && missing.gpus <= 1e-6) break;
       if (this.plan.evictions.length >= this.input.maxEvictions) break;
@@ -170,7 +170,7 @@
       missing.gpus -= victim.gpus;
       dropVictims(machine, [victim]);
       addTo(machine.leaving, victim);
-      this.plan.touched.add(machine);
+      this.plan.modifiedMachines.add(machine);
       this.plan.evictions.push({ ref: victim.ref, jobId: spec.id });
     }
   }
@@ -188,21 +188,21 @@
     const { spec } = job;
     let tasks = 0;
     for (const { machine, tasks: n } of chosen) {
-      this.plan.touched.add(machine);
+      this.plan.modifiedMachines.add(machine);
       takeFrom(machine.free, spec, n);
       if (!machine.images.has(spec.image)) {
         // Later tasks of this plan see the fetch that this one begins.
         if (!machine.fetching.has(spec.image)) machine.backlogGb += spec.imageGb;
         machine.fetching.add(spec.image);
-        machine.fetchRank = Math.max(machine.fetchRank, spec.priority);
+        machine.fetchPriority = Math.max(machine.fetchPriority, spec.priority);
       }
       count(job, machine.zone, n);
       this.plan.placements.push({ jobId: spec.id, machine: machine.name, tasks: n });
       tasks += n;
     }
     job.pending -= tasks;
-    job.limit -= tasks;
-    job.share -= tasks;
+    job.taskLimit -= tasks;
+    job.fairShareTasks -= tasks;
     this.input.quota.take(spec, tasks);
     return tasks;
   }
@@ -301,13 +301,13 @@
   private zonesOf(spec: JobSpec): (string | null)[] {
     const zones = new Set<string>();
     for (const m of this.input.machines) if (m.type.gpus >= spec.gpus) zones.add(m.zone);
-    for (const m of this.input.coming) zones.add(m.zone);
+    for (const m of this.input.incoming) zones.add(m.zone);
     return spec.zone === null ? [...zones] : [spec.zone];
   }
 
   private comingRoom(job: JobView, want: number, zone: string | null): number {
     let n = 0;
-    for (const machine of this.input.coming) {
+    for (const machine of this.input.incoming) {
       if (n >= want) break;
       if (zone !== null && machine.zone !== zone) continue;
       if (allows(job.spec, machine.type.name, machine.zone, machine.spot))
@@ -318,7 +318,7 @@
 
   private takeComing(job: JobView, want: number, zone: string | null): void {
     let left = want;
-    for (const machine of this.input.coming) {
+    for (const machine of this.input.incoming) {
       if (left <= 0) break;
       if (zone !== null && machine.zone !== zone) continue;
       if (!allows(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
@@ -365,10 +365,11 @@
     for (const machine of this.open) {
       if (!fits(spec, machine.free)) {
         // What is kept for another may be used by what is over before that one begins.
-        if (machine.held) fitting++;
-        if (!machine.held || machine.held.etaS < (job.taskS + fetchDelayS(spec, machine)) * 1.3 + 2) continue;
+        if (machine.reserved) fitting++;
+        if (!machine.reserved || machine.reserved.etaS < (job.taskS + fetchDelayS(spec, machine)) * 1.3 + 2)
+          continue;
         const room = { ...machine.free };
-        addTo(room, machine.held.amount);
+        addTo(room, machine.reserved.amount);
         if (!fits(spec, room) || !allows(spec, machine.type.name, machine.zone, machine.spot)) continue;
         if (zone !== null && machine.zone !== zone) continue;
         this.releaseReserved(machine);
@@ -378,7 +379,7 @@
       if ((zone !== null && machine.zone !== zone) || job.avoid.has(machine.name)) continue;
       // Fetches share the line: lesser work begins none of its own while greater work waits for its image.
       if (
-        machine.fetchRank > spec.priority &&
+        machine.fetchPriority > spec.priority &&
         !machine.images.has(spec.image) &&
         !machine.fetching.has(spec.image)
       )
@@ -419,11 +420,11 @@
     this.plan.machinesExamined += this.input.machines.length;
     for (const machine of this.input.machines) {
       if (!allows(spec, machine.type.name, machine.zone, machine.spot)) continue;
-      if (spec.gpus === 0 && machine.type.gpus > 0 && machine.claim) continue;
+      if (spec.gpus === 0 && machine.type.gpus > 0 && machine.acceleratorReserve) continue;
       const delay = fetchDelayS(spec, machine);
       if (
         job.avoid.has(machine.name) ||
-        machine.held ||
+        machine.reserved ||
         delay > withinS ||
         zoneRoom(spec, zones, machine.zone) <= 0
       ) {
@@ -457,7 +458,7 @@
         zones.set(m.zone, (zones.get(m.zone) ?? 0) + 1);
         missing--;
       }
-      this.plan.touched.add(m);
+      this.plan.modifiedMachines.add(m);
       Object.assign(m.free, free);
       Object.assign(m.leaving, leaving);
       if (entry.tasks > 0) picked.set(m, entry);
--- a/src/coordination/scheduling/placementCost.ts
+++ b/src/coordination/scheduling/placementCost.ts
@@ -21,23 +21,28 @@
 interface CostInput {
   nowMs: number;
   /** How often a spot machine is taken in an hour. */
-  takenPerH: number;
+  interruptionsPerHour: number;
 }
 
 /** Lower is better; roughly seconds. */
-export function placementCost(job: JobView, machine: MachineView, { nowMs, takenPerH }: CostInput): number {
+export function placementCost(
+  job: JobView,
+  machine: MachineView,
+  { nowMs, interruptionsPerHour }: CostInput,
+): number {
   const { spec } = job;
   let c = fetchDelayS(spec, machine);
-  if (job.prefer === machine.name) c -= 10;
+  if (job.preferredMachine === machine.name) c -= 10;
   // Cheap machines for whoever may use them: the others are left to those who may not.
   if (spec.spot && spec.kind === "gang") {
     // A gang stops whole when one of its machines is taken: the larger it is, the more an ordinary one is worth.
-    if (machine.spot) c += (takenPerH / 3600) * job.taskS * spec.tasks * (RESTART_S + spec.checkpointS / 2);
+    if (machine.spot)
+      c += (interruptionsPerHour / 3600) * job.taskS * spec.tasks * (RESTART_S + spec.checkpointS / 2);
     else c += GANG_SPOT_S * (1 - machine.type.spotPrice / Math.max(machine.type.price, 1e-9));
   } else if (spec.spot && !machine.spot) c += 4;
   if (spec.gpus === 0 && machine.type.gpus > 0) c += 8;
   // A zone without controllers is silent when it is cut off, and its leases run out.
-  if (spec.kind === "service" && !machine.withControllers) c += 3;
+  if (spec.kind === "service" && !machine.zoneHasController) c += 3;
   // A service stays, and with it its machine: on a large one it would pay for all the room around it.
   if (spec.kind === "service") c += Math.min(6, Math.max(0, howMany(spec, machine.type) - ROOMY) / 3);
   // Dear machines last, so that they are the ones that empty and are given back.
@@ -57,12 +62,12 @@
  */
 export function roomFor(spec: JobSpec, machine: MachineView): number {
   const n = howMany(spec, machine.free);
-  if (n === 0 || spec.gpus > 0 || machine.type.gpus === 0 || !machine.claim) return n;
-  if (spec.kind === "service" || !machine.gpuBusy) return 0;
+  if (n === 0 || spec.gpus > 0 || machine.type.gpus === 0 || !machine.acceleratorReserve) return n;
+  if (spec.kind === "service" || !machine.gpuInUse) return 0;
   const spare = {
-    cpus: machine.free.cpus - machine.free.gpus * machine.claim.cpus,
+    cpus: machine.free.cpus - machine.free.gpus * machine.acceleratorReserve.cpus,
     gpus: 0,
-    memoryGb: machine.free.memoryGb - machine.free.gpus * machine.claim.memoryGb,
+    memoryGb: machine.free.memoryGb - machine.free.gpus * machine.acceleratorReserve.memoryGb,
   };
   return Math.min(n, howMany(spec, spare));
 }
--- a/src/coordination/scheduling/placementPlan.ts
+++ b/src/coordination/scheduling/placementPlan.ts
@@ -25,7 +25,7 @@
   /** What the next cycle should keep, in place of what this one was given. */
   reservations: Reservation[];
   /** Views that were written on. */
-  touched: Set<MachineView>;
+  modifiedMachines: Set<MachineView>;
   /** Machines looked at: what a cycle costs. */
   machinesExamined: number;
 }
@@ -36,7 +36,7 @@
   /** Up, and to be trusted with new work. */
   machines: MachineView[];
   /** On their way; a gang counts on them. */
-  coming: MachineView[];
+  incoming: MachineView[];
   reservations: Reservation[];
   quota: QuotaView;
   maxEvictions: number;
@@ -48,6 +48,6 @@
   refused: (spec: JobSpec, zone: string) => boolean;
   guaranteed: (jobId: string) => boolean;
   /** How often a spot machine is taken in an hour, as seen so far. */
-  takenPerH: number;
+  interruptionsPerHour: number;
   nowMs: number;
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,5 +1,5 @@
 /** Which running tasks may be stopped for which waiting job ("Preemption" in the protocol). Pure. */
-import type { Amount } from "../../bookkeeping/machines.js";
+import type { Resources } from "../../bookkeeping/machines.js";
 import { addTo, fits, type JobView, type MachineView, type VictimView } from "./views.js";
 
 /** What preemption depends on besides the job and the victim. */
@@ -28,7 +28,7 @@
 /** Who would have to go from the machine so that one more task fits; null: nobody's going helps. */
 export function victimsFor(job: JobView, machine: MachineView, input: PreemptionInput): Victims | null {
   const { spec } = job;
-  const room: Amount = { ...machine.free };
+  const room: Resources = { ...machine.free };
   addTo(room, machine.leaving);
   const victims: VictimView[] = [];
   let loss = 0;
--- a/src/coordination/scheduling/queue.ts
+++ b/src/coordination/scheduling/queue.ts
@@ -21,7 +21,7 @@
     for (const job of list) {
       cpus += job.spec.cpus * job.spec.tasks;
       gpus += job.spec.gpus * job.spec.tasks;
-      if (cpus <= team.cpus + 1e-6 && gpus <= team.gpus + 1e-6) within.add(job);
+      if (cpus <= team.guaranteedCpus + 1e-6 && gpus <= team.guaranteedGpus + 1e-6) within.add(job);
     }
   }
   return within;
--- a/src/coordination/scheduling/quotaView.ts
+++ b/src/coordination/scheduling/quotaView.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../../bookkeeping/jobs.js";
-import { addTasks, type TeamAmount, type Usage } from "../../bookkeeping/usage.js";
+import { addTasks, type TeamAmount, type QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { JobSpec } from "../../protocol/model.js";
 import type { QuotaView } from "./views.js";
 
@@ -7,7 +7,7 @@
  * The teams' limits as one scheduling cycle sees them (rule `quota`): what is used, less what the cycle plans. Sums over
  * all tasks are made only for a team that is at its limit.
  */
-export function quotaView(usage: Usage, jobs: ReadonlyMap<string, Job>): QuotaView {
+export function quotaView(usage: QuotaUsage, jobs: ReadonlyMap<string, Job>): QuotaView {
   const planned = new Map<string, TeamAmount>();
   const stopping = new Map<string, TeamAmount>();
   const lasting = new Map<string, TeamAmount>();
--- a/src/coordination/scheduling/runTimeLearner.ts
+++ b/src/coordination/scheduling/runTimeEstimator.ts
@@ -1,9 +1,9 @@
 /** What the days themselves teach: how far the owners' estimates are off, class by class. */
-export class Learner {
+export class RunTimeEstimator {
   private readonly ratio = new Map<string, { value: number; weight: number }>();
 
   /** A task of the class ran this long though its owner had said that. */
-  ran(className: string, actualS: number, estimateS: number): void {
+  recordRun(className: string, actualS: number, estimateS: number): void {
     if (estimateS <= 0 || actualS <= 0) return;
     const r = Math.min(10, Math.max(0.1, actualS / estimateS));
     const old = this.ratio.get(className);
--- a/src/coordination/scheduling/views.ts
+++ b/src/coordination/scheduling/views.ts
@@ -1,5 +1,5 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
-import type { Amount } from "../../bookkeeping/machines.js";
+import type { Resources } from "../../bookkeeping/machines.js";
 
 /** Snapshots that the pure decisions work on. The placer makes them; decisions may scribble on them. */
 
@@ -21,25 +21,25 @@
   type: MachineType;
   zone: string;
   spot: boolean;
-  free: Amount;
+  free: Resources;
   /** What tasks that are being stopped will leave. */
-  leaving: Amount;
+  leaving: Resources;
   images: Set<string>;
   /** Images on their way: a task can wait for one of them without a fetch of its own. */
   fetching: Set<string>;
   backlogGb: number;
   /** A controller stands in its zone, so that a cut between zones doesn't silence it. */
-  withControllers: boolean;
+  zoneHasController: boolean;
   /** Highest priority that waits for a fetch there; -1: none. */
-  fetchRank: number;
+  fetchPriority: number;
   /** Room that a reservation keeps, for whom, and in how many seconds that one expects to begin. */
-  held: { jobId: string; amount: Amount; etaS: number } | null;
+  reserved: { jobId: string; amount: Resources; etaS: number } | null;
   /** Made only for who asks: most cycles stop nobody. */
   victims: () => VictimView[];
   /** What work with accelerators wants beside each of them here; null: none of it may come here. */
-  claim: Claim | null;
+  acceleratorReserve: AcceleratorReserve | null;
   /** Such work runs here now, so that the machine is paid for anyway. */
-  gpuBusy: boolean;
+  gpuInUse: boolean;
   /** Since when nothing runs here; null: something does, or it is not up. */
   idleSinceMs: number | null;
   /** Seconds until what runs here should be over. */
@@ -47,13 +47,18 @@
 }
 
 /** The most that work with accelerators, as seen so far, takes for each of them. */
-export interface Claim {
+export interface AcceleratorReserve {
   cpus: number;
   memoryGb: number;
 }
 
 /** A machine with nothing on it, as it will be when it is up. */
-export function emptyView(type: MachineType, zone: string, spot: boolean, claim: Claim | null): MachineView {
+export function emptyView(
+  type: MachineType,
+  zone: string,
+  spot: boolean,
+  acceleratorReserve: AcceleratorReserve | null,
+): MachineView {
   return {
     name: "",
     type,
@@ -64,12 +69,12 @@
     images: new Set(),
     fetching: new Set(),
     backlogGb: 0,
-    fetchRank: -1,
-    withControllers: true,
-    held: null,
+    fetchPriority: -1,
+    zoneHasController: true,
+    reserved: null,
     victims: () => [],
-    claim,
-    gpuBusy: false,
+    acceleratorReserve,
+    gpuInUse: false,
     idleSinceMs: null,
     freeInS: () => 0,
   };
@@ -80,17 +85,17 @@
   /** Tasks without result or attempt. */
   pending: number;
   /** Tasks to place now at the most: a large job that has waited long begins with a few. */
-  limit: number;
+  taskLimit: number;
   /** Of these, tasks to place before others of its kind have their share of the room. */
-  share: number;
+  fairShareTasks: number;
   guaranteed: boolean;
   /** Tasks that may be somewhere, by zone. */
   zones: Map<string, number>;
   avoid: Set<string>;
   /** Seconds that its tasks may still wait for a start without missing their class's target; null: no target left. */
-  quickS: number | null;
+  waitTargetLeftS: number | null;
   /** Where a move wants it; null: anywhere. */
-  prefer: string | null;
+  preferredMachine: string | null;
   /** Seconds that one of its tasks is expected to run. */
   taskS: number;
   /** It has waited so long that room is kept for it, though not all of it is there. */
@@ -109,11 +114,11 @@
 
 const EPS = 1e-6;
 
-export function fits(spec: JobSpec, free: Amount): boolean {
+export function fits(spec: JobSpec, free: Resources): boolean {
   return spec.cpus <= free.cpus + EPS && spec.gpus <= free.gpus + EPS && spec.memoryGb <= free.memoryGb + EPS;
 }
 
-export function howMany(spec: JobSpec, free: Amount): number {
+export function howMany(spec: JobSpec, free: Resources): number {
   const by = (need: number, have: number): number => (need > 0 ? Math.floor((have + EPS) / need) : Infinity);
   return Math.max(
     0,
@@ -121,13 +126,13 @@
   );
 }
 
-export function takeFrom(free: Amount, spec: JobSpec, tasks: number): void {
+export function takeFrom(free: Resources, spec: JobSpec, tasks: number): void {
   free.cpus -= spec.cpus * tasks;
   free.gpus -= spec.gpus * tasks;
   free.memoryGb -= spec.memoryGb * tasks;
 }
 
-export function addTo(free: Amount, what: Amount): void {
+export function addTo(free: Resources, what: Resources): void {
   free.cpus += what.cpus;
   free.gpus += what.gpus;
   free.memoryGb += what.memoryGb;
--- /dev/null
+++ b/src/coordination/term/machineRegistry.ts
@@ -0,0 +1,50 @@
+import { Machine } from "../../bookkeeping/machines.js";
+import type { Clock } from "../../transport/clock.js";
+
+/** Owns the set of machines that the term's leader knows, and the names of those that are certainly gone. */
+export class MachineRegistry {
+  private readonly machines = new Map<string, Machine>();
+  private readonly removed = new Set<string>();
+
+  constructor(
+    /** The first fencing token of the term: what a machine must show before it gets work. */
+    private readonly firstToken: number,
+    private readonly clock: Clock,
+  ) {}
+
+  get size(): number {
+    return this.machines.size;
+  }
+
+  get(name: string): Machine | undefined {
+    return this.machines.get(name);
+  }
+
+  values(): Iterable<Machine> {
+    return this.machines.values();
+  }
+
+  /** The machine of that name; one that was not known begins as booting, in that zone. */
+  getOrCreate(name: string, zone: string): Machine {
+    let machine = this.machines.get(name);
+    if (!machine) {
+      machine = new Machine(name, null, zone, false, this.firstToken, this.clock.nowMs());
+      this.machines.set(name, machine);
+    }
+    return machine;
+  }
+
+  /** The cloud has confirmed the deletion of that name: whatever still speaks of it is late. */
+  isRemoved(name: string): boolean {
+    return this.removed.has(name);
+  }
+
+  /** Never comes back under that name in this term. */
+  markRemoved(name: string): void {
+    this.removed.add(name);
+  }
+
+  forget(name: string): void {
+    this.machines.delete(name);
+  }
+}
--- a/src/main.ts
+++ b/src/main.ts
@@ -64,7 +64,7 @@
       setupLog(process.env.LOG_LEVEL, platform.node);
       process.on("uncaughtException", (error) => log.error(`uncaught: ${String(error.stack ?? error)}`));
       process.on("unhandledRejection", (error) => log.error(`unhandled: ${String(error)}`));
-      const { serve } = await import("./service.js");
+      const { serve } = await import("./controller/controller.js");
       await serve(platform, operator, systemClock);
       return -1;
     }
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -2,14 +2,14 @@
 import { asAmount, asList, asObject, asText, type Json } from "./checks.js";
 
 export const cloudPaths = {
-  types: "/flavors",
-  rent: "/machines",
-  remove: "/machines/delete",
-  list: (after: string, limit: number): string =>
+  machineTypes: "/flavors",
+  createMachines: "/machines",
+  deleteMachines: "/machines/delete",
+  listMachines: (after: string, limit: number): string =>
     `/machines?after=${encodeURIComponent(after)}&limit=${limit}`,
 };
 
-export function decodeTypes(value: unknown): MachineType[] | null {
+export function decodeMachineTypes(value: unknown): MachineType[] | null {
   const list = asList(asObject(value)?.breeds);
   if (!list) return null;
   const types: MachineType[] = [];
@@ -37,7 +37,7 @@
   return types;
 }
 
-export function encodeTypes(types: MachineType[]): Json {
+export function encodeMachineTypes(types: MachineType[]): Json {
   return {
     breeds: types.map((type) => ({
       name: type.name,
@@ -54,12 +54,18 @@
   };
 }
 
-export function encodeRent(request: string, type: string, zone: string, spot: boolean, count: number): Json {
+export function encodeCreateMachines(
+  request: string,
+  type: string,
+  zone: string,
+  spot: boolean,
+  count: number,
+): Json {
   return { plea: request, breed: type, patch: zone, windfall: spot, howMany: count };
 }
 
 /** The names rented, or null when the answer can't be read. */
-export function decodeRented(value: unknown): string[] | null {
+export function decodeCreatedMachines(value: unknown): string[] | null {
   const list = asList(asObject(value)?.tufts);
   return list ? list.filter((n): n is string => asText(n) !== null) : null;
 }
@@ -68,11 +74,11 @@
   return asObject(value)?.error === "no capacity";
 }
 
-export function encodeRemove(names: string[]): Json {
+export function encodeDeleteMachines(names: string[]): Json {
   return { tufts: names };
 }
 
-export function decodeListed(value: unknown): { machines: ListedMachine[]; more: boolean } | null {
+export function decodeMachineList(value: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const o = asObject(value);
   const list = asList(o?.tufts);
   if (!o || !list) return null;
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -32,7 +32,7 @@
 export type ExitCause =
   "done" | "stopped" | "peers" | "incomplete" | "error" | "no_room" | "in_use" | "unknown" | "other";
 
-export interface ReportedTask {
+export interface TaskStatus {
   jobId: string;
   task: number;
   attempt: number;
@@ -41,19 +41,19 @@
   saved: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
+  epoch: number;
   tick: number;
   /** The highest token the worker has seen. */
-  token: number;
+  fencingToken: number;
   /** Seconds until the cloud takes the machine; null: no notice. */
-  noticeS: number | null;
-  tasks: ReportedTask[];
+  interruptionNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
 export type Command =
@@ -86,32 +86,32 @@
 }
 
 /** A report that was acknowledged and said nothing new. */
-export interface UnchangedReport {
+export interface UnchangedHeartbeat {
   machine: string;
-  session: number;
+  epoch: number;
   tick: number;
 }
 
 /** A report as another controller took it in, so long ago. */
-export interface ReceivedReport {
+export interface ReceivedHeartbeat {
   ageMs: number;
-  report: Report;
+  heartbeat: Heartbeat;
 }
 
 /** Commands on their way to a worker. */
 export interface CommandDelivery {
   machine: string;
   address: string;
-  token: number;
-  session: number;
+  fencingToken: number;
+  epoch: number;
   commands: Command[];
 }
 
 export interface DeliveryResult {
   machine: string;
-  token: number;
+  fencingToken: number;
   /** Null: no answer, so it may be carried out at any later time. */
   status: number | null;
   neverSent: boolean;
-  report: Report | null;
+  heartbeat: Heartbeat | null;
 }
