--- a/src/protocol/peers.ts
+++ b/src/protocol/peers.ts
@@ -4,10 +4,10 @@
   CommandDelivery,
   DeliveryResult,
   ExitCause,
-  UnchangedReport,
-  Report,
-  ReportedTask,
-  ReceivedReport,
+  UnchangedHeartbeat,
+  Heartbeat,
+  TaskStatus,
+  ReceivedHeartbeat,
   TaskPhase,
 } from "./model.js";
 
@@ -18,30 +18,30 @@
 /** A cancellation that a user was told of, and the time of day just before it was committed. */
 export interface ConfirmedCancellation {
   id: string;
-  at: Date;
+  cancelledAt: Date;
 }
 
 /** What a controller tells the leader of the workers that it serves; at the same time its request for a new grant. */
-export interface ReportServerUpdate {
-  kind: "report server update";
+export interface HeartbeatServerUpdate {
+  kind: "heartbeat server update";
   from: string;
   term: number;
   /** Different in each process. */
-  life: number;
+  incarnation: number;
   /** One more in each frame of this life and term: a gap means that acknowledgements went unheard. */
   sequence: number;
   /** The leader's stamp in the last grant that came in: all acknowledgements up to then are told by now. */
-  echoedStampMs: number;
+  lastGrantIssuedAtMs: number;
   /** The leader's stamp in the last grant that asked for everything: from this frame on it is told again. */
-  resyncedStampMs: number;
+  lastResyncIssuedAtMs: number;
   /** Our own clock; comes back in the grant. */
-  askMs: number;
+  requestedAtMs: number;
   machines: number;
   lagMs: number;
   /** Workers that were acknowledged with nothing new to say. */
-  unchanged: UnchangedReport[];
+  unchanged: UnchangedHeartbeat[];
   /** Acknowledged reports that say something new. */
-  reports: ReceivedReport[];
+  heartbeats: ReceivedHeartbeat[];
   /** Cancellations that this process has told users of, less those that the leader has taken over. */
   cancellations: ConfirmedCancellation[];
   /** Number of the last of them, counted in each process. */
@@ -55,14 +55,14 @@
   kind: "grant";
   from: string;
   term: number;
-  life: number;
-  askMs: number;
-  forMs: number;
+  incarnation: number;
+  requestedAtMs: number;
+  durationMs: number;
   /** For workers of the asker's own zone, while the asker is cut off in company; 0: no longer than the rest. */
-  zoneForMs: number;
-  stampMs: number;
+  zoneDurationMs: number;
+  issuedAtMs: number;
   /** The state service serves the leader: a node that it refuses is alone with that. */
-  stateServed: boolean;
+  stateStoreReachable: boolean;
   /** Something went unheard: tell everything again. */
   resync: boolean;
   /** The cancellations told by this process up to that one are known here. */
@@ -72,6 +72,13 @@
   servers: { node: string; machines: number; lagMs: number }[];
 }
 
+/** How far a job is, for display only. */
+export interface TaskCounts {
+  id: string;
+  done: number;
+  running: number;
+}
+
 /** What controllers say to each other, byte by byte: kind, sender, then the kind's own fields. */
 export type PeerMessage =
   /** Opens every link. */
@@ -83,8 +90,8 @@
   | { kind: "term announcement"; from: string; term: number }
   | { kind: "term acknowledgement"; from: string; term: number }
   /** Counts for display only; whatever is not named has not changed. */
-  | { kind: "task counts"; from: string; term: number; jobs: { id: string; done: number; running: number }[] }
-  | ReportServerUpdate
+  | { kind: "task counts"; from: string; term: number; jobs: TaskCounts[] }
+  | HeartbeatServerUpdate
   | Grant
   /** I have no right to acknowledge reports any more, and hear from no leader of this term. */
   | { kind: "isolated"; from: string; term: number }
@@ -99,7 +106,7 @@
   "term announcement",
   "term acknowledgement",
   "task counts",
-  "report server update",
+  "heartbeat server update",
   "grant",
   "deliveries",
   "delivery results",
@@ -126,7 +133,7 @@
   return table[index]!;
 }
 
-function writeTask(writer: Writer, task: ReportedTask): void {
+function writeTask(writer: Writer, task: TaskStatus): void {
   writer
     .text(task.jobId)
     .number(task.task)
@@ -136,7 +143,7 @@
   writer.byte(task.saved ? 1 : 0);
 }
 
-function readTask(reader: Reader): ReportedTask {
+function readTask(reader: Reader): TaskStatus {
   return {
     jobId: reader.text(),
     task: reader.number(),
@@ -147,31 +154,31 @@
   };
 }
 
-function writeReport(writer: Writer, report: Report): void {
+function writeHeartbeat(writer: Writer, report: Heartbeat): void {
   writer
     .text(report.machine)
     .text(report.address)
     .text(report.type)
     .text(report.zone)
     .byte(report.spot ? 1 : 0);
-  writer.big(report.session).big(report.tick).big(report.token);
-  writer.byte(report.noticeS === null ? 0 : 1);
-  if (report.noticeS !== null) writer.number(Math.round(report.noticeS * 1000));
+  writer.big(report.epoch).big(report.tick).big(report.fencingToken);
+  writer.byte(report.interruptionNoticeS === null ? 0 : 1);
+  if (report.interruptionNoticeS !== null) writer.number(Math.round(report.interruptionNoticeS * 1000));
   writer.number(report.tasks.length);
   for (const t of report.tasks) writeTask(writer, t);
 }
 
-function readReport(reader: Reader): Report {
+function readHeartbeat(reader: Reader): Heartbeat {
   return {
     machine: reader.text(),
     address: reader.text(),
     type: reader.text(),
     zone: reader.text(),
     spot: reader.flag(),
-    session: reader.big(),
+    epoch: reader.big(),
     tick: reader.big(),
-    token: reader.big(),
-    noticeS: reader.flag() ? reader.number() / 1000 : null,
+    fencingToken: reader.big(),
+    interruptionNoticeS: reader.flag() ? reader.number() / 1000 : null,
     tasks: reader.list(readTask),
   };
 }
@@ -211,27 +218,27 @@
       writer.number(message.term).number(message.jobs.length);
       for (const job of message.jobs) writer.text(job.id).number(job.done).number(job.running);
       break;
-    case "report server update":
-      writer.number(message.term).number(message.life).number(message.sequence);
+    case "heartbeat server update":
+      writer.number(message.term).number(message.incarnation).number(message.sequence);
       writer
-        .number(message.echoedStampMs)
-        .number(message.resyncedStampMs)
-        .number(message.askMs)
+        .number(message.lastGrantIssuedAtMs)
+        .number(message.lastResyncIssuedAtMs)
+        .number(message.requestedAtMs)
         .number(message.machines)
         .number(message.lagMs);
       writer.number(message.unchanged.length);
-      for (const h of message.unchanged) writer.text(h.machine).big(h.session).big(h.tick);
-      writer.number(message.reports.length);
-      for (const x of message.reports) writeReport(writer.number(x.ageMs), x.report);
+      for (const h of message.unchanged) writer.text(h.machine).big(h.epoch).big(h.tick);
+      writer.number(message.heartbeats.length);
+      for (const x of message.heartbeats) writeHeartbeat(writer.number(x.ageMs), x.heartbeat);
       writer.number(message.cancellations.length);
-      for (const t of message.cancellations) writer.text(t.id).number(t.at.getTime());
+      for (const t of message.cancellations) writer.text(t.id).number(t.cancelledAt.getTime());
       writer.number(message.cancellationSeq).byte(message.cancellationsComplete ? 1 : 0);
       break;
     case "grant":
-      writer.number(message.term).number(message.life).number(message.askMs);
-      writer.number(message.forMs).number(message.zoneForMs).number(message.stampMs);
+      writer.number(message.term).number(message.incarnation).number(message.requestedAtMs);
+      writer.number(message.durationMs).number(message.zoneDurationMs).number(message.issuedAtMs);
       writer
-        .byte(message.stateServed ? 1 : 0)
+        .byte(message.stateStoreReachable ? 1 : 0)
         .byte(message.resync ? 1 : 0)
         .number(message.cancellationSeq)
         .number(message.quarantined.length);
@@ -245,8 +252,8 @@
         writer
           .text(delivery.machine)
           .text(delivery.address)
-          .big(delivery.token)
-          .big(delivery.session)
+          .big(delivery.fencingToken)
+          .big(delivery.epoch)
           .number(delivery.commands.length);
         for (const c of delivery.commands) writeCommand(writer, c);
       }
@@ -256,11 +263,11 @@
       for (const result of message.results) {
         writer
           .text(result.machine)
-          .big(result.token)
+          .big(result.fencingToken)
           .number(result.status ?? 0)
           .byte(result.neverSent ? 1 : 0);
-        writer.byte(result.report ? 1 : 0);
-        if (result.report) writeReport(writer, result.report);
+        writer.byte(result.heartbeat ? 1 : 0);
+        if (result.heartbeat) writeHeartbeat(writer, result.heartbeat);
       }
       break;
   }
@@ -300,21 +307,21 @@
         term: reader.number(),
         jobs: reader.list(() => ({ id: reader.text(), done: reader.number(), running: reader.number() })),
       };
-    case "report server update":
+    case "heartbeat server update":
       return {
         kind,
         from,
         term: reader.number(),
-        life: reader.number(),
+        incarnation: reader.number(),
         sequence: reader.number(),
-        echoedStampMs: reader.number(),
-        resyncedStampMs: reader.number(),
-        askMs: reader.number(),
+        lastGrantIssuedAtMs: reader.number(),
+        lastResyncIssuedAtMs: reader.number(),
+        requestedAtMs: reader.number(),
         machines: reader.number(),
         lagMs: reader.number(),
-        unchanged: reader.list(() => ({ machine: reader.text(), session: reader.big(), tick: reader.big() })),
-        reports: reader.list(() => ({ ageMs: reader.number(), report: readReport(reader) })),
-        cancellations: reader.list(() => ({ id: reader.text(), at: new Date(reader.number()) })),
+        unchanged: reader.list(() => ({ machine: reader.text(), epoch: reader.big(), tick: reader.big() })),
+        heartbeats: reader.list(() => ({ ageMs: reader.number(), heartbeat: readHeartbeat(reader) })),
+        cancellations: reader.list(() => ({ id: reader.text(), cancelledAt: new Date(reader.number()) })),
         cancellationSeq: reader.number(),
         cancellationsComplete: reader.flag(),
       };
@@ -323,12 +330,12 @@
         kind,
         from,
         term: reader.number(),
-        life: reader.number(),
-        askMs: reader.number(),
-        forMs: reader.number(),
-        zoneForMs: reader.number(),
-        stampMs: reader.number(),
-        stateServed: reader.flag(),
+        incarnation: reader.number(),
+        requestedAtMs: reader.number(),
+        durationMs: reader.number(),
+        zoneDurationMs: reader.number(),
+        issuedAtMs: reader.number(),
+        stateStoreReachable: reader.flag(),
         resync: reader.flag(),
         cancellationSeq: reader.number(),
         quarantined: reader.list(() => reader.text()),
@@ -346,8 +353,8 @@
         deliveries: reader.list(() => ({
           machine: reader.text(),
           address: reader.text(),
-          token: reader.big(),
-          session: reader.big(),
+          fencingToken: reader.big(),
+          epoch: reader.big(),
           commands: reader.list(readCommand),
         })),
       };
@@ -358,10 +365,10 @@
         term: reader.number(),
         results: reader.list(() => ({
           machine: reader.text(),
-          token: reader.big(),
+          fencingToken: reader.big(),
           status: reader.number() || null,
           neverSent: reader.flag(),
-          report: reader.flag() ? readReport(reader) : null,
+          heartbeat: reader.flag() ? readHeartbeat(reader) : null,
         })),
       };
   }
--- a/src/protocol/state.ts
+++ b/src/protocol/stateStore.ts
@@ -6,19 +6,19 @@
   version: number;
 }
 export type Change = { put: string; value: unknown; lease?: number } | { drop: string };
-export interface Guard {
+export interface VersionCondition {
   key: string;
   /** 0: the key does not exist. */
   version: number;
 }
-export type Event =
+export type ChangeEvent =
   { key: string; value: unknown; version: number } | { key: string; gone: true; version: number };
 
 export const statePaths = {
   key: (key: string): string => `/keys/${key}`,
   page: (prefix: string, after: string | null, limit: number): string =>
     `/keys?prefix=${encodeURIComponent(prefix)}${after === null ? "" : `&after=${encodeURIComponent(after)}`}&limit=${limit}`,
-  commit: "/commit",
+  compareAndSwap: "/commit",
   leases: "/holds",
   renew: (id: number): string => `/holds/${id}/renew`,
   lease: (id: number): string => `/holds/${id}`,
@@ -26,7 +26,7 @@
     `/changes?prefix=${encodeURIComponent(prefix)}&after=${after}&holdMs=${waitMs}`,
 };
 
-export function encodeCommit(guards: Guard[], changes: Change[]): Json {
+export function encodeCompareAndSwap(guards: VersionCondition[], changes: Change[]): Json {
   return {
     guards: guards.map((g) => ({ path: g.key, stamp: g.version })),
     then: changes.map((change) => {
@@ -42,7 +42,7 @@
   return asCount(asObject(value)?.ring);
 }
 
-export function decodeFailed(value: unknown): string[] {
+export function decodeFailedKeys(value: unknown): string[] {
   const list = asList(asObject(value)?.failed) ?? [];
   return list.filter((k): k is string => asText(k) !== null);
 }
@@ -76,12 +76,12 @@
   return { lifeMs: ttlMs };
 }
 
-export function decodeEvents(value: unknown): { revision: number; events: Event[] } | null {
+export function decodeEvents(value: unknown): { revision: number; events: ChangeEvent[] } | null {
   const o = asObject(value);
   const revision = asCount(o?.ring);
   const list = asList(o?.news);
   if (!o || revision === null || !list) return null;
-  const events: Event[] = [];
+  const events: ChangeEvent[] = [];
   for (const entry of list) {
     const e = asObject(entry);
     const version = asCount(e?.stamp);
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,4 +1,4 @@
-import type { Command, ExitCause, Report, ReportedTask, TaskPhase } from "./model.js";
+import type { Command, ExitCause, Heartbeat, TaskStatus, TaskPhase } from "./model.js";
 import { asAmount, asCount, asList, asObject, asText, type Json } from "./checks.js";
 
 const PHASES: Record<string, TaskPhase> = {
@@ -37,7 +37,7 @@
   return task;
 }
 
-function decodeTask(value: unknown): ReportedTask | null {
+function decodeTask(value: unknown): TaskStatus | null {
   const o = asObject(value);
   if (!o || typeof o.spore !== "string" || typeof o.phase !== "string") return null;
   const name = o.spore;
@@ -52,15 +52,15 @@
 
 /** A worker's report; null when it can't be one. A task we can't read spoils the whole report:
  * dropping it alone would make it look gone. */
-export function decodeReport(value: unknown): Report | null {
+export function decodeHeartbeat(value: unknown): Heartbeat | null {
   const o = asObject(value);
   if (!o) return null;
   const machine = asText(o.tuft);
-  const session = asCount(o.bloom);
+  const epoch = asCount(o.bloom);
   const tick = asCount(o.tick);
   const list = asList(o.spores ?? []);
-  if (machine === null || session === null || tick === null || !list) return null;
-  const tasks: ReportedTask[] = [];
+  if (machine === null || epoch === null || tick === null || !list) return null;
+  const tasks: TaskStatus[] = [];
   for (const entry of list) {
     const task = decodeTask(entry);
     if (!task) return null;
@@ -72,10 +72,10 @@
     type: asText(o.breed) ?? "",
     zone: asText(o.patch) ?? "",
     spot: o.windfall === true,
-    session,
+    epoch,
     tick,
-    token: asCount(o.crook) ?? 0,
-    noticeS: o.warningS === undefined ? null : asAmount(o.warningS),
+    fencingToken: asCount(o.crook) ?? 0,
+    interruptionNoticeS: o.warningS === undefined ? null : asAmount(o.warningS),
     tasks,
   };
 }
@@ -86,17 +86,17 @@
   return { verb: command.op, ...base };
 }
 
-export function encodeResponse(token: number, commands: Command[]): Json {
+export function encodeHeartbeatResponse(token: number, commands: Command[]): Json {
   return { crook: token, bids: commands.map(encodeCommand) };
 }
 
-export function encodeDirect(token: number, session: number, commands: Command[]): Json {
+export function encodeDirectCommands(token: number, session: number, commands: Command[]): Json {
   return { crook: token, bloom: session, bids: commands.map(encodeCommand) };
 }
 
-export const DIRECT_PATH = "/commands";
+export const DIRECT_COMMANDS_PATH = "/commands";
 
 /** 421 sends a worker on; naming nobody makes it try the next node by itself. */
-export function encodeElsewhere(leader: string | null): Json {
+export function encodeRedirect(leader: string | null): Json {
   return leader === null ? {} : { steward: leader };
 }
--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -13,10 +13,10 @@
 }
 export interface Team {
   name: string;
-  cpus: number;
-  cpusMax: number;
-  gpus: number;
-  gpusMax: number;
+  guaranteedCpus: number;
+  maxCpus: number;
+  guaranteedGpus: number;
+  maxGpus: number;
 }
 export interface Platform {
   node: string;
@@ -24,22 +24,22 @@
   listen: string;
   peerListen: string;
   peers: { name: string; zone: string; address: string }[];
-  cloud: string;
-  state: string;
-  size: number;
+  cloudAddress: string;
+  stateStoreAddress: string;
+  clusterSize: number;
   zones: string[];
   clockErrorMs: number;
   teams: Team[];
   objectives: Objective[];
-  reportS: number;
+  heartbeatS: number;
   leaseS: number;
   gangWaitS: number;
   gangPeerS: number;
   cancelS: number;
-  stateRps: number;
-  stateWriteRps: number;
-  stateValueKb: number;
-  stateTxnOps: number;
+  stateStoreRps: number;
+  stateStoreWriteRps: number;
+  stateStoreValueKb: number;
+  stateStoreTransactionChanges: number;
   cloudRps: number;
   listLagS: number;
   maxConnections: number;
@@ -132,17 +132,17 @@
       zone: f.text(p, `peers[${i}]`, "zone"),
       address: f.address(p, `peers[${i}]`, "address"),
     })),
-    cloud: f.address(endpoints, "endpoints", "cloud"),
-    state: f.address(endpoints, "endpoints", "state"),
-    size: f.number(cluster, "cluster", "size", 1, 99),
+    cloudAddress: f.address(endpoints, "endpoints", "cloud"),
+    stateStoreAddress: f.address(endpoints, "endpoints", "state"),
+    clusterSize: f.number(cluster, "cluster", "size", 1, 99),
     zones: f.texts(cluster, "cluster", "zones"),
     clockErrorMs: f.number(cluster, "cluster", "clock_error_ms", 0, MANY),
     teams: f.tables(cluster, "cluster", "teams").map((t, i) => ({
       name: f.text(t, `cluster.teams[${i}]`, "name"),
-      cpus: f.number(t, `cluster.teams[${i}]`, "cpus", 0, MANY),
-      cpusMax: limitOf(f.number(t, `cluster.teams[${i}]`, "cpus_max", 0, MANY)),
-      gpus: f.number(t, `cluster.teams[${i}]`, "gpus", 0, MANY),
-      gpusMax: limitOf(f.number(t, `cluster.teams[${i}]`, "gpus_max", 0, MANY)),
+      guaranteedCpus: f.number(t, `cluster.teams[${i}]`, "cpus", 0, MANY),
+      maxCpus: limitOf(f.number(t, `cluster.teams[${i}]`, "cpus_max", 0, MANY)),
+      guaranteedGpus: f.number(t, `cluster.teams[${i}]`, "gpus", 0, MANY),
+      maxGpus: limitOf(f.number(t, `cluster.teams[${i}]`, "gpus_max", 0, MANY)),
     })),
     objectives: f.tables(cluster, "cluster", "objectives").map((o, i) => ({
       kind: f.text(o, `cluster.objectives[${i}]`, "kind"),
@@ -151,15 +151,15 @@
       share: f.number(o, `cluster.objectives[${i}]`, "share", 0, 1, 1),
       times: f.number(o, `cluster.objectives[${i}]`, "times", 0, MANY, 1),
     })),
-    reportS: f.number(workers, "cluster.workers", "report_s", 0.01, MANY),
+    heartbeatS: f.number(workers, "cluster.workers", "report_s", 0.01, MANY),
     leaseS: f.number(workers, "cluster.workers", "lease_s", 0.1, MANY),
     gangWaitS: f.number(workers, "cluster.workers", "gang_wait_s", 0, MANY),
     gangPeerS: f.number(workers, "cluster.workers", "gang_peer_s", 0, MANY),
     cancelS: f.number(workers, "cluster.workers", "cancel_s", 0, MANY),
-    stateRps: f.number(state, "cluster.state", "rps", 1, MANY),
-    stateWriteRps: f.number(state, "cluster.state", "write_rps", 0.1, MANY),
-    stateValueKb: f.number(state, "cluster.state", "value_kb", 1, MANY),
-    stateTxnOps: f.number(state, "cluster.state", "txn_ops", 4, MANY),
+    stateStoreRps: f.number(state, "cluster.state", "rps", 1, MANY),
+    stateStoreWriteRps: f.number(state, "cluster.state", "write_rps", 0.1, MANY),
+    stateStoreValueKb: f.number(state, "cluster.state", "value_kb", 1, MANY),
+    stateStoreTransactionChanges: f.number(state, "cluster.state", "txn_ops", 4, MANY),
     cloudRps: f.number(cloud, "cluster.cloud", "rps", 0.01, MANY),
     listLagS: f.number(cloud, "cluster.cloud", "list_lag_s", 0, MANY),
     maxConnections: f.number(limits, "cluster.machine_limits", "max_connections", 16, MANY),
--- a/test/magnet.test.ts
+++ b/test/consolidation.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { loadOf, ringOf } from "../src/coordination/magnet/rings.js";
-import { release, type MeasuredMachine } from "../src/coordination/magnet/release.js";
-import { squeeze, type LoadedMachine, type LoadedTask } from "../src/coordination/magnet/squeeze.js";
+import { loadOf, ringOf } from "../src/coordination/consolidation/rings.js";
+import { release, type MeasuredMachine } from "../src/coordination/consolidation/release.js";
+import { squeeze, type LoadedMachine, type LoadedTask } from "../src/coordination/consolidation/squeeze.js";
 
 test("rings: [0, degrad/2) outer, [degrad/2, degrad) secondary, the rest inner", () => {
   for (const [load, ring] of [
--- a/test/fair.test.ts
+++ b/test/fair.test.ts
@@ -220,13 +220,13 @@
   return {
     spec,
     pending: spec.tasks,
-    limit: Infinity,
-    share: Infinity,
+    taskLimit: Infinity,
+    fairShareTasks: Infinity,
     guaranteed: false,
     zones: new Map(),
     avoid: new Set(),
-    quickS: null,
-    prefer: null,
+    waitTargetLeftS: null,
+    preferredMachine: null,
     taskS: 20,
     aged: false,
   };
@@ -240,7 +240,7 @@
   return {
     jobs,
     machines,
-    coming: [],
+    incoming: [],
     reservations: holds,
     quota: {
       room: () => Infinity,
@@ -253,7 +253,7 @@
     mayStop: () => false,
     refused: () => false,
     guaranteed: () => true,
-    takenPerH: 1,
+    interruptionsPerHour: 1,
     nowMs: 0,
   };
 }
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,6 +1,6 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { encodePeer, PEER_VERSION } from "../../src/protocol/peers.js";
-import { Controller } from "../../src/service.js";
+import { Controller } from "../../src/controller/controller.js";
 import { operatorDefaults } from "../../src/settings/operator.js";
 import type { Platform } from "../../src/settings/platform.js";
 import type { HttpCaller, Reply } from "../../src/transport/httpClient.js";
@@ -157,7 +157,7 @@
   }
 
   private boot(name: string): void {
-    const life = `life-${++this.lives}`;
+    const incarnation = `life-${++this.lives}`;
     const node: SimNode = {
       alive: true,
       thawMs: 0,
@@ -205,12 +205,12 @@
             const copy = Buffer.from(payload);
             this.net.carry(`${name}:80`, `${peer}:80`, () => {
               const other = this.nodes.get(peer);
-              if (other) this.whenThawed(other, () => other.alive && deliver(other, life, name, copy));
+              if (other) this.whenThawed(other, () => other.alive && deliver(other, incarnation, name, copy));
             });
             return true;
           },
         },
-        life,
+        incarnation,
         random: this.random,
       },
     );
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -2,8 +2,8 @@
 import test from "node:test";
 import { Job, type Attempt } from "../src/bookkeeping/jobs.js";
 import { Machine } from "../src/bookkeeping/machines.js";
-import { looksFaulty, looksMistaken } from "../src/coordination/scheduling/failureDetection.js";
-import { hasJustBegun, isLate } from "../src/coordination/scheduling/scheduler.js";
+import { machineLooksFaulty, jobLooksFaulty } from "../src/coordination/scheduling/failureDetection.js";
+import { hasJustBegun, isOverdueToBoot } from "../src/coordination/scheduling/scheduler.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
 import { World } from "./fakes/world.js";
 
@@ -51,20 +51,20 @@
   ];
   for (const [name, failures, want] of cases) {
     m.failures = new Map(failures.map(([j, n]) => [j.id, n]));
-    assert.equal(looksFaulty(m, new Map(failures.map(([j]) => [j.id, j]))), want, name);
+    assert.equal(machineLooksFaulty(m, new Map(failures.map(([j]) => [j.id, j]))), want, name);
   }
-  assert.equal(looksMistaken(job("a", everywhere)), true);
-  assert.equal(looksMistaken(job("a", everywhere, 1)), false, "it has ended well somewhere");
-  assert.equal(looksMistaken(job("a", everywhere, 0, ["m7"])), false, "it runs somewhere");
-  assert.equal(looksMistaken(job("a", everywhere, 0, ["m2"])), true, "it runs where it failed before");
+  assert.equal(jobLooksFaulty(job("a", everywhere)), true);
+  assert.equal(jobLooksFaulty(job("a", everywhere, 1)), false, "it has ended well somewhere");
+  assert.equal(jobLooksFaulty(job("a", everywhere, 0, ["m7"])), false, "it runs somewhere");
+  assert.equal(jobLooksFaulty(job("a", everywhere, 0, ["m2"])), true, "it runs where it failed before");
 });
 
 test("a boot long past its type's time is counted on no more; one that was up before is", () => {
   const m = machine("m1");
   m.type = { bootS: 40 } as MachineType;
-  assert.deepEqual([isLate(m, 60_000), isLate(m, 80_000)], [false, true]);
-  m.listedUp = true;
-  assert.equal(isLate(m, 80_000), false);
+  assert.deepEqual([isOverdueToBoot(m, 60_000), isOverdueToBoot(m, 80_000)], [false, true]);
+  m.listedAsRunning = true;
+  assert.equal(isOverdueToBoot(m, 80_000), false);
 });
 
 /** Their users cancel them in the end; until then they are known, and cost the others nothing. */
--- a/test/leaseExpiry.test.ts
+++ b/test/leaseExpiry.test.ts
@@ -3,17 +3,20 @@
 import { isMajority, mayConfirmExtension, readLeadership } from "../src/coordination/leadership/election.js";
 import { Job, type Attempt } from "../src/bookkeeping/jobs.js";
 import { Machine } from "../src/bookkeeping/machines.js";
-import { AcknowledgementLimits } from "../src/coordination/reports/acknowledgementLimits.js";
-import { ConfirmedCancellations } from "../src/coordination/reports/confirmedCancellations.js";
+import { AcknowledgementLimits } from "../src/coordination/heartbeats/acknowledgementLimits.js";
+import { ConfirmedCancellations } from "../src/coordination/heartbeats/confirmedCancellations.js";
 import type { JobSpec } from "../src/protocol/model.js";
-import type { ReportServerUpdate } from "../src/protocol/peers.js";
-import { chooseServer } from "../src/coordination/reports/workerBalancer.js";
-import { ReportServerRegistry } from "../src/coordination/reports/reportServerRegistry.js";
+import type { HeartbeatServerUpdate } from "../src/protocol/peers.js";
+import { chooseServer } from "../src/coordination/heartbeats/workerBalancer.js";
+import {
+  type GrantTerms,
+  HeartbeatServerRegistry,
+} from "../src/coordination/heartbeats/heartbeatServerRegistry.js";
 import {
   absenceProves,
   firstToken,
   leadershipLeaseUntilMs,
-  ackLimitMs,
+  acknowledgementLimitMs,
   DRIFT,
   leaseOverMs,
   longestZoneLeaseMs,
@@ -22,16 +25,16 @@
 } from "../src/coordination/leadership/leaseExpiry.js";
 
 test("absence from a report proves a task gone only behind a higher token or session", () => {
-  const mine = { sentToken: 100, sentSession: 2, inherited: false };
-  const old = { sentToken: -1, sentSession: 0, inherited: true };
-  const cases: [string, typeof mine, { session: number; token: number }, boolean][] = [
-    ["same token: the start may still be on its way", mine, { session: 2, token: 100 }, false],
-    ["lower token", mine, { session: 2, token: 99 }, false],
-    ["a higher token refuses the start", mine, { session: 2, token: 101 }, true],
-    ["a later session refuses the start", mine, { session: 3, token: 100 }, true],
-    ["never sent: nothing to prove", { ...mine, sentToken: -1 }, { session: 9, token: 999 }, false],
-    ["an earlier leader's, before our token is seen", old, { session: 9, token: 49 }, false],
-    ["an earlier leader's, once our token is seen", old, { session: 2, token: 50 }, true],
+  const mine = { sentToken: 100, sentEpoch: 2, inherited: false };
+  const old = { sentToken: -1, sentEpoch: 0, inherited: true };
+  const cases: [string, typeof mine, { epoch: number; fencingToken: number }, boolean][] = [
+    ["same token: the start may still be on its way", mine, { epoch: 2, fencingToken: 100 }, false],
+    ["lower token", mine, { epoch: 2, fencingToken: 99 }, false],
+    ["a higher token refuses the start", mine, { epoch: 2, fencingToken: 101 }, true],
+    ["a later session refuses the start", mine, { epoch: 3, fencingToken: 100 }, true],
+    ["never sent: nothing to prove", { ...mine, sentToken: -1 }, { epoch: 9, fencingToken: 999 }, false],
+    ["an earlier leader's, before our token is seen", old, { epoch: 9, fencingToken: 49 }, false],
+    ["an earlier leader's, once our token is seen", old, { epoch: 2, fencingToken: 50 }, true],
   ];
   for (const [name, start, report, want] of cases) assert.equal(absenceProves(start, report, 50), want, name);
 });
@@ -91,7 +94,7 @@
     revision: 12,
     termVersion: 11,
     term: 4,
-    record: { term: 4, node: "n1", life: "x", lease: 9 },
+    record: { term: 4, node: "n1", incarnation: "x", lease: 9 },
   });
   assert.deepEqual(readLeadership([], 9), { revision: 9, termVersion: 0, term: 0, record: null });
 });
@@ -131,41 +134,61 @@
 });
 
 /** What a controller asks for its first grant with. */
-const ask: ReportServerUpdate = {
-  kind: "report server update",
+const ask: HeartbeatServerUpdate = {
+  kind: "heartbeat server update",
   from: "n1",
   term: 1,
-  life: 5,
+  incarnation: 5,
   sequence: 1,
-  echoedStampMs: 0,
-  resyncedStampMs: 0,
-  askMs: 70,
+  lastGrantIssuedAtMs: 0,
+  lastResyncIssuedAtMs: 0,
+  requestedAtMs: 70,
   machines: 3,
   lagMs: 0,
   unchanged: [],
-  reports: [],
+  heartbeats: [],
   cancellations: [],
   cancellationSeq: 0,
   cancellationsComplete: true,
 };
 
-test("the leader's book of servers: gaps blind it, grants end no later than its own right to acknowledge", () => {
-  const self = { node: "n0", machines: 1, lagMs: 0 };
-  const facts = (s: ReportServerRegistry): object => ({ ...[...s.facts("a", 0)][0] });
-  const s = new ReportServerRegistry(new Map([["n1", "b"]]), 9000);
+/** What a grant may allow, with what a case is about. */
+function grantTerms(
+  about: Pick<GrantTerms, "nowMs" | "acknowledgeUntilMs"> & Partial<GrantTerms>,
+): GrantTerms {
+  return {
+    self: { node: "n0", machines: 1, lagMs: 0 },
+    stateStoreReachable: true,
+    zoneDurationMs: 0,
+    quarantined: [],
+    ...about,
+  };
+}
+
+test("the leader's registry of heartbeat servers: gaps blind it, grants end no later than its own right to acknowledge", () => {
+  const facts = (s: HeartbeatServerRegistry): object => ({ ...[...s.facts("a", 0)][0] });
+  const s = new HeartbeatServerRegistry(new Map([["n1", "b"]]), 9000);
   s.received(ask, 10_000);
-  assert.equal(s.grant(ask, self, 10_000, 10_500, true)?.forMs, 500, "no longer than the lease");
-  assert.equal(s.grant(ask, self, 10_600, 10_500, true), null, "none after it");
-  s.received({ ...ask, sequence: 2, echoedStampMs: 10_000 }, 10_400);
+  assert.equal(
+    s.grant(ask, grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 10_500 }))?.durationMs,
+    500,
+    "no longer than the lease",
+  );
+  assert.equal(
+    s.grant(ask, grantTerms({ nowMs: 10_600, acknowledgeUntilMs: 10_500 })),
+    null,
+    "none after it",
+  );
+  s.received({ ...ask, sequence: 2, lastGrantIssuedAtMs: 10_000 }, 10_400);
   assert.deepEqual(pick(facts(s)), { coveredMs: 10_000, blindMs: -Infinity });
-  s.received({ ...ask, sequence: 4, echoedStampMs: 10_300 }, 10_700);
+  s.received({ ...ask, sequence: 4, lastGrantIssuedAtMs: 10_300 }, 10_700);
   assert.deepEqual(pick(facts(s)), { coveredMs: 10_300, blindMs: 10_700 }, "a lost frame");
-  s.received({ ...ask, life: 6, sequence: 1 }, 10_900);
+  s.received({ ...ask, incarnation: 6, sequence: 1 }, 10_900);
   assert.deepEqual(pick(facts(s)), { coveredMs: 10_300, blindMs: 10_900 }, "a new process");
 });
 
 test("a controller may keep its own zone for longer, and a lease there counts from that; an unheard one's from before", () => {
-  const s = new ReportServerRegistry(
+  const s = new HeartbeatServerRegistry(
     new Map([
       ["n1", "b"],
       ["n2", "b"],
@@ -175,7 +198,8 @@
   );
   s.received(ask, 10_000);
   assert.equal(
-    s.grant(ask, { node: "n0", machines: 1, lagMs: 0 }, 10_000, 12_000, true, 9000)?.zoneForMs,
+    s.grant(ask, grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 12_000, zoneDurationMs: 9000 }))
+      ?.zoneDurationMs,
     9000,
   );
   const until = (zone: string): number[] => [...s.facts(zone, 7000)].map((f) => Math.round(f.grantUntilMs));
@@ -194,16 +218,15 @@
 });
 
 test("what was lost is asked for until it is told again, also of who stood still when it was asked", () => {
-  const s = new ReportServerRegistry(new Map([["n1", "a"]]), 0);
-  const self = { node: "n0", machines: 1, lagMs: 0 };
-  const frame = (seq: number, retoldMs: number): ReportServerUpdate => ({
+  const s = new HeartbeatServerRegistry(new Map([["n1", "a"]]), 0);
+  const frame = (seq: number, retoldMs: number): HeartbeatServerUpdate => ({
     ...ask,
     sequence: seq,
-    resyncedStampMs: retoldMs,
+    lastResyncIssuedAtMs: retoldMs,
   });
   const asked = (seq: number, retoldMs: number, nowMs: number): boolean | undefined => {
     s.received(frame(seq, retoldMs), nowMs);
-    return s.grant(frame(seq, retoldMs), self, nowMs, nowMs + 4000, true)?.resync;
+    return s.grant(frame(seq, retoldMs), grantTerms({ nowMs, acknowledgeUntilMs: nowMs + 4000 }))?.resync;
   };
   assert.deepEqual(
     [asked(1, 0, 1000), asked(3, 0, 2000), asked(4, 0, 3000), asked(5, 2500, 4000), asked(6, 2500, 5000)],
@@ -220,33 +243,38 @@
     [5, 8, -4100],
   ];
   for (const [cancelS, leaseS, want] of cases) {
-    const ms = ackLimitMs(70_000, cancelS, leaseS) - 70_000;
+    const ms = acknowledgementLimitMs(70_000, cancelS, leaseS) - 70_000;
     assert.ok(ms >= want && ms <= want + 100, `${cancelS} s, ${leaseS} s: ${ms}`);
     // The worker's clock and ours may both be slow, and half a second is left for what is late.
     assert.ok((ms * (1 + DRIFT)) / 1000 + leaseS * (1 + DRIFT) + 0.5 < cancelS * (1 - DRIFT));
     assert.equal(
       longestZoneLeaseMs(cancelS, leaseS),
-      want < 3000 ? 0 : Math.floor(ackLimitMs(0, cancelS, leaseS)),
+      want < 3000 ? 0 : Math.floor(acknowledgementLimitMs(0, cancelS, leaseS)),
     );
   }
 });
 
 test("what users were told is cancelled: read, or named by who told it; a process that is over can only be read after", () => {
-  const s = new ReportServerRegistry(
+  const s = new HeartbeatServerRegistry(
     new Map([
       ["n1", "a"],
       ["n2", "a"],
     ]),
     0,
   );
-  const frame = (from: string, life: number, echoMs: number, toldAll = true): ReportServerUpdate => ({
+  const frame = (
+    from: string,
+    incarnation: number,
+    echoMs: number,
+    toldAll = true,
+  ): HeartbeatServerUpdate => ({
     ...ask,
     from,
-    life,
-    echoedStampMs: echoMs,
+    incarnation,
+    lastGrantIssuedAtMs: echoMs,
     cancellationsComplete: toldAll,
   });
-  const steps: [string, ReportServerUpdate | null, number, number, number][] = [
+  const steps: [string, HeartbeatServerUpdate | null, number, number, number][] = [
     // name, frame that comes in at this moment, up to when we have read, known up to
     ["nobody heard: what we read", null, 10_000, 9900, 9900],
     ["one heard", frame("n1", 5, 9950), 10_100, 10_100, 10_100],
@@ -268,9 +296,9 @@
   for (const [name, update, nowMs, readMs, want] of steps) {
     if (update) {
       s.received(update, nowMs);
-      s.learnCancellations(update, nowMs);
+      s.applyCancellations(update, nowMs);
     }
-    assert.equal(s.cancelsKnownToMs(readMs), want, name);
+    assert.equal(s.cancellationsKnownUntilMs(readMs), want, name);
   }
 });
 
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { Job, type Attempt } from "../src/bookkeeping/jobs.js";
-import { composeTransaction, type Transaction } from "../src/bookkeeping/ledger.js";
+import { composeTransaction, type Transaction } from "../src/bookkeeping/transaction.js";
 import { Machine } from "../src/bookkeeping/machines.js";
 import { keys } from "../src/bookkeeping/records.js";
 import type { JobSpec } from "../src/protocol/model.js";
 
-const limits = { changes: 20, lazy: 20, bytes: 60_000 };
+const limits = { changes: 20, deferredChanges: 20, bytes: 60_000 };
 
 /** Keys and their versions, as the state service has them. */
 class Store {
@@ -40,11 +40,11 @@
   return new Job(spec as JobSpec, new Date(0), version, null, 0);
 }
 
-function plan(job: Job, task: number, attempt: number): Attempt {
+function plan(job: Job, task: number, number: number): Attempt {
   const a = {
     job,
     task,
-    attempt,
+    number,
     machine: new Machine("m1", null, "a", false, 1, 0),
     durable: false,
   } as Attempt;
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import * as net from "node:net";
 import test from "node:test";
-import { isLateCopy, isUnchanged } from "../src/coordination/reports/reportServer.js";
-import type { Report } from "../src/protocol/model.js";
+import { isLateCopy, isUnchanged } from "../src/coordination/heartbeats/heartbeatServer.js";
+import type { Heartbeat } from "../src/protocol/model.js";
 import { encodePeer, PEER_VERSION, type PeerMessage } from "../src/protocol/peers.js";
 import { systemClock } from "../src/transport/clock.js";
 import { frame, PeerLinks } from "../src/transport/peerLink.js";
@@ -85,31 +85,31 @@
 }
 
 test("reports: what is a late copy, and what says nothing new", () => {
-  const report: Report = {
+  const report: Heartbeat = {
     machine: "host-1",
     address: "10.1.0.1:9000",
     type: "g8",
     zone: "a",
     spot: false,
-    session: 2,
+    epoch: 2,
     tick: 9,
-    token: 5,
-    noticeS: null,
+    fencingToken: 5,
+    interruptionNoticeS: null,
     tasks: [{ jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, saved: false }],
   };
-  const copies: [string, { session: number; tick: number }, boolean][] = [
-    ["the next one", { session: 2, tick: 8 }, false],
-    ["the same once more", { session: 2, tick: 9 }, true],
-    ["one from before", { session: 2, tick: 12 }, true],
-    ["one from an earlier session, with a higher tick", { session: 3, tick: 1 }, true],
-    ["the first of a new session", { session: 1, tick: 99 }, false],
+  const copies: [string, { epoch: number; tick: number }, boolean][] = [
+    ["the next one", { epoch: 2, tick: 8 }, false],
+    ["the same once more", { epoch: 2, tick: 9 }, true],
+    ["one from before", { epoch: 2, tick: 12 }, true],
+    ["one from an earlier epoch, with a higher tick", { epoch: 3, tick: 1 }, true],
+    ["the first of a new epoch", { epoch: 1, tick: 99 }, false],
   ];
   for (const [name, known, want] of copies) assert.equal(isLateCopy(known, report), want, name);
-  const same: [string, Partial<Report>, boolean][] = [
+  const same: [string, Partial<Heartbeat>, boolean][] = [
     ["only the tick", { tick: 10 }, true],
-    ["a higher token", { token: 6 }, false],
-    ["a new session", { session: 3 }, false],
-    ["a notice", { noticeS: 8 }, false],
+    ["a higher token", { fencingToken: 6 }, false],
+    ["a new epoch", { epoch: 3 }, false],
+    ["a notice", { interruptionNoticeS: 8 }, false],
     ["a task more", { tasks: [...report.tasks, { ...report.tasks[0]!, task: 1 }] }, false],
     ["a task that has ended", { tasks: [{ ...report.tasks[0]!, phase: "exited", cause: "done" }] }, false],
     ["another attempt", { tasks: [{ ...report.tasks[0]!, attempt: 2 }] }, false],
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -1,12 +1,18 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { neverRuns } from "../src/coordination/admission/admission.js";
+import { rejectionReason } from "../src/coordination/admission/admission.js";
 import { decodePeer, encodePeer, type PeerMessage } from "../src/protocol/peers.js";
-import type { Report } from "../src/protocol/model.js";
+import type { Heartbeat } from "../src/protocol/model.js";
 import { decodeSubmission, encodeSubmission, route } from "../src/protocol/users.js";
-import { decodeReport, encodeDirect } from "../src/protocol/workers.js";
+import { decodeHeartbeat, encodeDirectCommands } from "../src/protocol/workers.js";
 import { FrameReader, frame } from "../src/transport/peerLink.js";
-import { CHUNK, decodeChunk, decodeHead, encodeChunk, encodeHead } from "../src/bookkeeping/records.js";
+import {
+  TASKS_PER_CHUNK,
+  decodeChunk,
+  decodeHead,
+  encodeChunk,
+  encodeHead,
+} from "../src/bookkeeping/records.js";
 
 const good = {
   ref: "job-000412",
@@ -75,7 +81,7 @@
       zones: ["a"],
     },
   ];
-  const teams = [{ name: "vision", cpus: 0, cpusMax: 128, gpus: 0, gpusMax: 16 }];
+  const teams = [{ name: "vision", guaranteedCpus: 0, maxCpus: 128, guaranteedGpus: 0, maxGpus: 16 }];
   const cases: [string, object, boolean][] = [
     ["fits exactly", {}, false],
     ["unknown team", { team: "x" }, true],
@@ -87,7 +93,7 @@
     ["a service counts all tasks", { tasks: 17, kind: "service" }, true],
   ];
   for (const [name, change, want] of cases) {
-    assert.equal(neverRuns({ ...spec, ...change }, types, teams) !== null, want, name);
+    assert.equal(rejectionReason({ ...spec, ...change }, types, teams) !== null, want, name);
   }
 });
 
@@ -116,32 +122,35 @@
     crook: 3,
     spores: [{ spore: "job-1/3", sprout: 2, phase: "gathering" }],
   };
-  assert.equal(decodeReport(report)?.tasks[0]?.phase, "waiting");
+  assert.equal(decodeHeartbeat(report)?.tasks[0]?.phase, "waiting");
   for (const spores of [
     [{ spore: "job-1", sprout: 2, phase: "running" }],
     [{ spore: "job-1/1", sprout: 2, phase: "asleep" }],
     [7],
     "x",
   ]) {
-    assert.equal(decodeReport({ ...report, spores }), null, JSON.stringify(spores));
+    assert.equal(decodeHeartbeat({ ...report, spores }), null, JSON.stringify(spores));
   }
-  assert.deepEqual(encodeDirect(5, 1, [{ op: "stop", jobId: "job-1", task: 3, attempt: 2, graceS: 10 }]), {
-    crook: 5,
-    bloom: 1,
-    bids: [{ verb: "stop", spore: "job-1/3", sprout: 2, wiltS: 10 }],
-  });
+  assert.deepEqual(
+    encodeDirectCommands(5, 1, [{ op: "stop", jobId: "job-1", task: 3, attempt: 2, graceS: 10 }]),
+    {
+      crook: 5,
+      bloom: 1,
+      bids: [{ verb: "stop", spore: "job-1/3", sprout: 2, wiltS: 10 }],
+    },
+  );
 });
 
-const seen: Report = {
+const seen: Heartbeat = {
   machine: "host-1",
   address: "10.1.0.1:9000",
   type: "g8",
   zone: "Óbuda",
   spot: true,
-  session: 3,
+  epoch: 3,
   tick: 2 ** 40,
-  token: 2 ** 45,
-  noticeS: 7.25,
+  fencingToken: 2 ** 45,
+  interruptionNoticeS: 7.25,
   tasks: [
     { jobId: "job-1", task: 99_999, attempt: 2 ** 50, phase: "exited", cause: "stopped", saved: true },
     { jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, saved: false },
@@ -157,19 +166,19 @@
     { kind: "task counts", from: "n1", term: 8, jobs: [{ id: "job-1", done: 3, running: 2 }] },
     { kind: "hello", from: "n3", version: 2 },
     {
-      kind: "report server update",
+      kind: "heartbeat server update",
       from: "n2",
       term: 8,
-      life: 2 ** 40,
+      incarnation: 2 ** 40,
       sequence: 3,
-      echoedStampMs: 90_000,
-      resyncedStampMs: 11,
-      askMs: 4000,
+      lastGrantIssuedAtMs: 90_000,
+      lastResyncIssuedAtMs: 11,
+      requestedAtMs: 4000,
       machines: 70,
       lagMs: 12,
-      unchanged: [{ machine: "host-1", session: 1, tick: 9 }],
-      reports: [{ ageMs: 7, report: seen }],
-      cancellations: [{ id: "job-7", at: new Date(1_700_000_000_123) }],
+      unchanged: [{ machine: "host-1", epoch: 1, tick: 9 }],
+      heartbeats: [{ ageMs: 7, heartbeat: seen }],
+      cancellations: [{ id: "job-7", cancelledAt: new Date(1_700_000_000_123) }],
       cancellationSeq: 4,
       cancellationsComplete: true,
     },
@@ -177,12 +186,12 @@
       kind: "grant",
       from: "n1",
       term: 8,
-      life: 2 ** 40,
-      askMs: 4000,
-      zoneForMs: 22_500,
-      forMs: 2000,
-      stampMs: 90_400,
-      stateServed: true,
+      incarnation: 2 ** 40,
+      requestedAtMs: 4000,
+      zoneDurationMs: 22_500,
+      durationMs: 2000,
+      issuedAtMs: 90_400,
+      stateStoreReachable: true,
       resync: false,
       cancellationSeq: 4,
       quarantined: ["host-3"],
@@ -196,8 +205,8 @@
         {
           machine: "host-1",
           address: "10.1.0.1:9000",
-          token: 2 ** 45 + 1,
-          session: 1,
+          fencingToken: 2 ** 45 + 1,
+          epoch: 1,
           commands: [
             { op: "start", jobId: "job-1", task: 99_999, attempt: 2 ** 50 },
             { op: "stop", jobId: "job-1", task: 3, attempt: 2, graceS: 2.5 },
@@ -211,8 +220,8 @@
       from: "n2",
       term: 8,
       results: [
-        { machine: "host-1", token: 5, status: null, neverSent: true, report: null },
-        { machine: "host-2", token: 6, status: 409, neverSent: false, report: seen },
+        { machine: "host-1", fencingToken: 5, status: null, neverSent: true, heartbeat: null },
+        { machine: "host-2", fencingToken: 6, status: 409, neverSent: false, heartbeat: seen },
       ],
     },
   ];
@@ -240,9 +249,9 @@
 });
 
 test("records: a full chunk fits the smallest value limit and comes back as it was", () => {
-  const done = new Uint8Array(CHUNK / 8);
+  const done = new Uint8Array(TASKS_PER_CHUNK / 8);
   done[3] = 129;
-  const attempts = Array.from({ length: CHUNK }, (_, i) => ({
+  const attempts = Array.from({ length: TASKS_PER_CHUNK }, (_, i) => ({
     task: 99_000 + i,
     attempt: 900 * 2 ** 24 + i,
     machine: `host-${String(i % 40).padStart(6, "0")}`,
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -52,15 +52,15 @@
 `;
 
 test("platform settings: each mistake is named with its path, value and reason", () => {
-  assert.equal(readPlatform(good).teams[0]?.cpus, 48);
+  assert.equal(readPlatform(good).teams[0]?.guaranteedCpus, 48);
   // A guest team: no guarantee, and no limit either.
   const guest = '[[cluster.teams]]\nname = "g"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n';
   assert.deepEqual(readPlatform(good.replace("[cluster.workers]", `${guest}[cluster.workers]`)).teams[1], {
     name: "g",
-    cpus: 0,
-    cpusMax: Infinity,
-    gpus: 0,
-    gpusMax: Infinity,
+    guaranteedCpus: 0,
+    maxCpus: Infinity,
+    guaranteedGpus: 0,
+    maxGpus: Infinity,
   });
   const cases: [string, string, RegExp][] = [
     ['node_name = "n0"', "", /^node_name: missing, must be a non-empty string$/],
