--- a/eslint.config.js
+++ b/eslint.config.js
@@ -60,19 +60,4 @@
       ],
     },
   },
-  // Each layer imports only from those to the right of it:
-  // coordination -> bookkeeping -> protocol -> transport.
-  ...[
-    ["src/transport", ["protocol", "bookkeeping", "coordination"]],
-    ["src/protocol", ["bookkeeping", "coordination"]],
-    ["src/bookkeeping", ["coordination"]],
-  ].map(([dir, banned]) => ({
-    files: [`${dir}/**/*.ts`],
-    rules: {
-      "no-restricted-imports": [
-        "error",
-        { patterns: banned.map((layer) => ({ group: [`**/${layer}/**`], message: "layering" })) },
-      ],
-    },
-  })),
 );
--- a/src/bookkeeping/transaction.ts
+++ b/src/bookkeeping/transaction.ts
@@ -1,6 +1,5 @@
 import type { Change, VersionCondition } from "../protocol/stateStore.js";
-import type { Attempt, Chunk, Job } from "./jobs.js";
-import { chunkRecord } from "./jobs.js";
+import { type Attempt, type Chunk, type Job, chunkRecord } from "./workload.js";
 import { encodeChunk, encodeFinal, keys } from "./records.js";
 
 export interface TransactionPart {
--- a/src/coordination/commands/commandBatch.ts
+++ b/src/coordination/commands/commandBatch.ts
@@ -1,6 +1,5 @@
 import type { Command } from "../../protocol/model.js";
-import type { Job } from "../../bookkeeping/jobs.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Job, Machine } from "../../bookkeeping/workload.js";
 
 export interface CommandBatch {
   token: number;
--- a/src/coordination/commands/commandDeliveries.ts
+++ b/src/coordination/commands/commandDeliveries.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import type { CommandDelivery } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
 import type { CommandQueue } from "../term/attempts.js";
--- a/src/coordination/consolidation/consolidationRounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -1,4 +1,4 @@
-import type { Attempt } from "../../bookkeeping/jobs.js";
+import type { Attempt } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import type { Operator } from "../../settings/operator.js";
 import type { Clock } from "../../transport/clock.js";
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -5,8 +5,8 @@
 import type { Answer } from "../../transport/httpServer.js";
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
-import type { LeadershipChange, LeadershipLease } from "../leadership/leadershipLease.js";
-import { DRIFT, firstToken } from "../leadership/leaseExpiry.js";
+import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
+import { DRIFT, firstToken } from "../term/leaseExpiry.js";
 import { ConfirmedCancellations } from "./confirmedCancellations.js";
 import { WorkerBalancer } from "./workerBalancer.js";
 
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -1,5 +1,5 @@
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers.js";
-import { DRIFT, type HeartbeatServerFacts } from "../leadership/leaseExpiry.js";
+import { DRIFT, type HeartbeatServerFacts } from "../term/leaseExpiry.js";
 
 /** How long a controller may acknowledge reports without hearing from the leader again. */
 export const GRANT_MS = 2000;
@@ -196,7 +196,7 @@
   }
 
   /** Does any controller that we can hand over to keep up clearly better than we do? */
-  someoneFaster(lagMs: number, nowMs: number): boolean {
+  hasFasterServer(lagMs: number, nowMs: number): boolean {
     for (const b of this.records.values())
       if (nowMs - b.receivedMs < 1500 && b.lagMs * 3 < lagMs) return true;
     return false;
--- a/src/coordination/leadership/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -6,7 +6,7 @@
 import type { CloudEvent } from "../provisioning/cloudClient.js";
 import { Estimates } from "../scheduling/estimates.js";
 import type { LeaderOptions } from "./leaderOptions.js";
-import type { LeadershipChange, LeadershipLease } from "./leadershipLease.js";
+import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
 import { LeaderTerm } from "./leaderTerm.js";
 import { buildTermParts } from "./termParts.js";
 import type { TermMessage } from "./termMessage.js";
--- a/src/coordination/leadership/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -149,7 +149,7 @@
   /** A leader that can't keep up makes everybody wait; one that can takes over within a second. */
   private handOverIfOverloaded(nowMs: number): void {
     const lagMs = this.options.lagMs();
-    if (this.overload.isOverloaded(lagMs, nowMs) && this.parts.servers.someoneFaster(lagMs, nowMs))
+    if (this.overload.isOverloaded(lagMs, nowMs) && this.parts.servers.hasFasterServer(lagMs, nowMs))
       this.options.onLagging(this.parts.lease.term);
   }
 }
--- a/src/coordination/leadership/taskCountPublisher.ts
+++ b/src/coordination/leader/taskCountPublisher.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../bookkeeping/jobs.js";
+import type { Job } from "../../bookkeeping/workload.js";
 import type { TaskCounts } from "../../protocol/peers.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 
--- a/src/coordination/leadership/termParts.ts
+++ b/src/coordination/leader/termParts.ts
@@ -31,8 +31,8 @@
 import { TermLease } from "../term/termLease.js";
 import { WriteQueue } from "../term/writeQueue.js";
 import type { LeaderOptions } from "./leaderOptions.js";
-import type { LeadershipLease } from "./leadershipLease.js";
-import { firstAttempt, firstToken, longestZoneLeaseMs } from "./leaseExpiry.js";
+import type { LeadershipLease } from "../term/leadershipLease.js";
+import { firstAttempt, firstToken, longestZoneLeaseMs } from "../term/leaseExpiry.js";
 import type { TermMessage } from "./termMessage.js";
 
 /** What connects a term's parts to their leader's mailbox. */
@@ -161,6 +161,7 @@
   const scheduler = new Scheduler({
     ...shared,
     ...actions,
+    preferredMachines: actions.rounds.preferredMachines,
     objectives: options.platform.objectives,
     lagMs: options.lagMs,
   });
--- a/src/coordination/leadership/election.ts
+++ b/src/coordination/leadership/elector.ts
@@ -6,8 +6,8 @@
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
 import { LeaderSuspicion, LIVENESS_WRITE_MS, SUSPICION_MS } from "./leaderSuspicion.js";
-import type { LeadershipChange } from "./leadershipLease.js";
-import { leadershipLeaseUntilMs } from "./leaseExpiry.js";
+import type { LeadershipChange } from "../term/leadershipLease.js";
+import { leadershipLeaseUntilMs } from "../term/leaseExpiry.js";
 
 export interface ElectionOptions {
   node: string;
--- a/src/coordination/machines/cordon.ts
+++ b/src/coordination/machines/cordon.ts
@@ -1,5 +1,4 @@
-import type { Attempt } from "../../bookkeeping/jobs.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Attempt, Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
 import type { Estimates } from "../scheduling/estimates.js";
--- a/src/coordination/machines/deliveryResults.ts
+++ b/src/coordination/machines/deliveryResults.ts
@@ -1,8 +1,8 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import type { DeliveryResult, Heartbeat } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
 import type { CommandDeliveries } from "../commands/commandDeliveries.js";
-import { firstToken } from "../leadership/leaseExpiry.js";
+import { firstToken } from "../term/leaseExpiry.js";
 import type { Attempts } from "../term/attempts.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { TermLease } from "../term/termLease.js";
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -1,9 +1,9 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import type { Heartbeat, ReceivedHeartbeat, UnchangedHeartbeat } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
 import { PROBE_MS } from "../commands/commandDeliveries.js";
-import { firstToken } from "../leadership/leaseExpiry.js";
+import { firstToken } from "../term/leaseExpiry.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { CommandQueue } from "../term/attempts.js";
 import type { CycleRequests } from "../term/cycleRequests.js";
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -1,6 +1,6 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import type { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
-import { leaseOverEverywhereMs, leaseOverMs } from "../leadership/leaseExpiry.js";
+import { leaseOverEverywhereMs, leaseOverMs } from "../term/leaseExpiry.js";
 import type { TermLease } from "../term/termLease.js";
 
 /** Proves that the lease of a silent machine's worker has expired (rule `ran_twice`); silence alone proves nothing. */
--- a/src/coordination/machines/machineSupervisor.ts
+++ b/src/coordination/machines/machineSupervisor.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
 import { PROBE_MS, REAP_MS, type CommandDeliveries } from "../commands/commandDeliveries.js";
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -1,9 +1,8 @@
-import type { Attempt, Job } from "../../bookkeeping/jobs.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { TaskStatus } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
-import { absenceProves, firstToken } from "../leadership/leaseExpiry.js";
+import { absenceProves, firstToken } from "../term/leaseExpiry.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { Attempts, CommandQueue } from "../term/attempts.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
@@ -104,7 +103,7 @@
       attempt.sentToken = firstToken(this.context.lease.term) - 1;
       attempt.sentEpoch = machine.epoch;
     }
-    if (phase !== "fetching" && machine.fetching.has(job.spec.image)) machine.imageReady(job.spec.image);
+    if (phase !== "fetching" && machine.images.isFetching(job.spec.image)) machine.imageReady(job.spec.image);
     if (phase === "running" && attempt.runningMs === null) this.noteRunning(attempt);
     attempt.phase = phase;
     if (job.cancelled && !attempt.stop) this.context.attempts.stopAttempt(attempt, 0);
--- a/src/coordination/machines/silenceCounts.ts
+++ b/src/coordination/machines/silenceCounts.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 
 interface Group {
   up: number;
--- a/src/coordination/machines/unsentStarts.ts
+++ b/src/coordination/machines/unsentStarts.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import type { Attempts } from "../term/attempts.js";
 
 /** Starts that were planned before then and never sent are given up, so that their tasks go elsewhere. */
--- a/src/coordination/provisioning/fleetUsageLog.ts
+++ b/src/coordination/provisioning/fleetUsageLog.ts
@@ -1,4 +1,4 @@
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import { loadOf } from "../consolidation/rings.js";
--- a/src/coordination/provisioning/provisioner.ts
+++ b/src/coordination/provisioning/provisioner.ts
@@ -1,5 +1,5 @@
 import type { JobSpec, ListedMachine } from "../../protocol/model.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import type { Clock } from "../../transport/clock.js";
 import type { ConsolidationRounds } from "../consolidation/consolidationRounds.js";
--- a/src/coordination/records/jobRecords.ts
+++ b/src/coordination/records/jobRecords.ts
@@ -1,4 +1,4 @@
-import { Job, type Attempt } from "../../bookkeeping/jobs.js";
+import { Job, type Attempt } from "../../bookkeeping/workload.js";
 import { decodeChunk, decodeHead, keys, type ChunkRecord } from "../../bookkeeping/records.js";
 import type { Item } from "../../bookkeeping/stateStoreClient.js";
 import type { Garbage, Transaction } from "../../bookkeeping/transaction.js";
--- a/src/coordination/records/recordWriter.ts
+++ b/src/coordination/records/recordWriter.ts
@@ -1,5 +1,4 @@
-import type { Job } from "../../bookkeeping/jobs.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Job, Machine } from "../../bookkeeping/workload.js";
 import { decodeFinal, keys } from "../../bookkeeping/records.js";
 import type { CompareAndSwapOutcome, Item, StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import {
--- a/src/coordination/scheduling/failureDetection.ts
+++ b/src/coordination/scheduling/failureDetection.ts
@@ -1,5 +1,4 @@
-import type { Job } from "../../bookkeeping/jobs.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Job, Machine } from "../../bookkeeping/workload.js";
 
 /** A job that has failed on more machines than this and succeeded on none was submitted with a mistake. */
 const MISTAKE_MACHINES = 3;
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,5 +1,5 @@
 import type { JobSpec } from "../../protocol/model.js";
-import type { Resources } from "../../bookkeeping/machines.js";
+import type { Resources } from "../../bookkeeping/resources.js";
 import { groupBy } from "./groupBy.js";
 import { fetchDelayS, placementCost, roomFor } from "./placementCost.js";
 import type { PlacementInput, PlacementPlan, Reservation } from "./placementPlan.js";
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,5 +1,5 @@
 /** Which running tasks may be stopped for which waiting job ("Preemption" in the protocol). Pure. */
-import type { Resources } from "../../bookkeeping/machines.js";
+import type { Resources } from "../../bookkeeping/resources.js";
 import { addTo, fits, type JobView, type MachineView, type VictimView } from "./views.js";
 
 /** What preemption depends on besides the job and the victim. */
--- a/src/coordination/scheduling/queue.ts
+++ b/src/coordination/scheduling/queue.ts
@@ -1,5 +1,5 @@
 import { groupBy } from "./groupBy.js";
-import type { Job } from "../../bookkeeping/jobs.js";
+import type { Job } from "../../bookkeeping/workload.js";
 import type { Objective, Team } from "../../settings/platform.js";
 
 /**
--- a/src/coordination/scheduling/quotaView.ts
+++ b/src/coordination/scheduling/quotaView.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../bookkeeping/jobs.js";
+import type { Job } from "../../bookkeeping/workload.js";
 import { addTasks, type TeamAmount, type QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { JobSpec } from "../../protocol/model.js";
 import type { QuotaView } from "./views.js";
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,6 +1,5 @@
-import type { MachineType } from "../../protocol/model.js";
-import type { Attempt, Job } from "../../bookkeeping/jobs.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { JobSpec, MachineType } from "../../protocol/model.js";
+import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import { jobLooksFaulty } from "./failureDetection.js";
 import type { Estimates } from "./estimates.js";
@@ -11,8 +10,6 @@
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Objective } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
-import type { ConsolidationRounds } from "../consolidation/consolidationRounds.js";
-import type { Provisioner } from "../provisioning/provisioner.js";
 import type { Attempts } from "../term/attempts.js";
 import type { CycleRequests } from "../term/cycleRequests.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
@@ -45,6 +42,26 @@
 /** Most machines are up within one and a half times their type's boot time. */
 const LATE_BOOT_TIMES = 1.7;
 
+/** A machine type that was asked of the cloud and has not come up yet. */
+export interface OpenOrder {
+  type: string;
+  zone: string;
+  spot: boolean;
+  count: number;
+}
+
+/** What the scheduler asks of whoever scales the fleet. */
+export interface FleetScaling {
+  readonly openOrders: ReadonlyMap<string, OpenOrder>;
+  /** Nothing that the job could use is to be had in that zone at present. */
+  refusedAll(spec: JobSpec, zone: string, nowMs: number): boolean;
+  /** Scales out for what the plan left unplaced; `incoming`: machines that are on their way already. */
+  scaleOut(plan: PlacementPlan, incoming: MachineView[]): void;
+}
+
+/** Where moves of consolidation want jobs to start again, by job. */
+export type PreferredMachines = ReadonlyMap<string, { machine: string; untilMs: number }>;
+
 /** What the scheduler uses of the term. */
 export interface SchedulerContext {
   clock: Clock;
@@ -56,8 +73,8 @@
   writes: WriteRequests;
   cycles: CycleRequests;
   estimates: Estimates;
-  provisioner: Provisioner;
-  rounds: ConsolidationRounds;
+  provisioner: FleetScaling;
+  preferredMachines: PreferredMachines;
   reservations: Reservations;
   objectives: Objective[];
   /** Seconds of silence after which nothing new is placed on a machine. */
@@ -259,7 +276,7 @@
       if (untilMs > now) avoid.add(name);
       else entry.job.avoid.delete(name);
     }
-    const prefer = this.context.rounds.preferredMachines.get(entry.job.id);
+    const prefer = this.context.preferredMachines.get(entry.job.id);
     return {
       spec: entry.job.spec,
       pending: entry.job.pending,
@@ -332,14 +349,15 @@
     view.free.cpus -= machine.used.cpus;
     view.free.gpus -= machine.used.gpus;
     view.free.memoryGb -= machine.used.memoryGb;
-    for (const image of machine.images.keys()) if (machine.hasImage(image)) view.images.add(image);
-    for (const image of machine.fetching.keys()) view.fetching.add(image);
-    view.backlogGb = machine.fetchBacklogGb();
+    for (const image of machine.images.ready()) view.images.add(image);
+    for (const image of machine.images.fetching()) view.fetching.add(image);
+    view.backlogGb = machine.images.backlogGb();
     view.zoneHasController = this.context.estimates.controllerZones.has(machine.zone);
     for (const attempt of machine.attempts) {
       const { spec } = attempt.job;
       view.gpuInUse ||= spec.gpus > 0;
-      if (machine.fetching.has(spec.image)) view.fetchPriority = Math.max(view.fetchPriority, spec.priority);
+      if (machine.images.isFetching(spec.image))
+        view.fetchPriority = Math.max(view.fetchPriority, spec.priority);
       if (!attempt.stop) continue;
       view.leaving.cpus += spec.cpus;
       view.leaving.gpus += spec.gpus;
--- a/src/coordination/scheduling/views.ts
+++ b/src/coordination/scheduling/views.ts
@@ -1,5 +1,5 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
-import type { Resources } from "../../bookkeeping/machines.js";
+import type { Resources } from "../../bookkeeping/resources.js";
 
 /** Snapshots that the pure decisions work on. The placer makes them; decisions may scribble on them. */
 
--- a/src/coordination/term/attempts.ts
+++ b/src/coordination/term/attempts.ts
@@ -1,5 +1,4 @@
-import type { Attempt, Job } from "../../bookkeeping/jobs.js";
-import type { Machine } from "../../bookkeeping/machines.js";
+import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
@@ -116,7 +115,7 @@
 
 /** A worker gives up a fetch that no task waits for any more. */
 function abandonFetch(machine: Machine, image: string): void {
-  if (!machine.fetching.has(image)) return;
+  if (!machine.images.isFetching(image)) return;
   for (const attempt of machine.attempts) if (attempt.job.spec.image === image) return;
   machine.imageFetchAbandoned(image);
 }
--- a/src/coordination/term/jobRegistry.ts
+++ b/src/coordination/term/jobRegistry.ts
@@ -1,4 +1,4 @@
-import type { Job } from "../../bookkeeping/jobs.js";
+import type { Job } from "../../bookkeeping/workload.js";
 
 /** Owns the set of live jobs that the term's leader knows, from their records. */
 export class JobRegistry {
--- a/src/coordination/term/machineRegistry.ts
+++ b/src/coordination/term/machineRegistry.ts
@@ -1,4 +1,4 @@
-import { Machine } from "../../bookkeeping/machines.js";
+import { Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
 
 /** Owns the set of machines that the term's leader knows, and the names of those that are certainly gone. */
--- a/src/coordination/term/termLease.ts
+++ b/src/coordination/term/termLease.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../../transport/clock.js";
-import type { LeadershipLease } from "../leadership/leadershipLease.js";
+import type { LeadershipLease } from "./leadershipLease.js";
 
 /**
  * The current term as its parts see it: what they may do, and until when. Owns the lease that the election last
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,7 +1,6 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { Job, type Attempt } from "../src/bookkeeping/jobs.js";
-import { Machine } from "../src/bookkeeping/machines.js";
+import { Job, type Attempt, Machine } from "../src/bookkeeping/workload.js";
 import { machineLooksFaulty, jobLooksFaulty } from "../src/coordination/scheduling/failureDetection.js";
 import { hasJustBegun, isOverdueToBoot } from "../src/coordination/scheduling/scheduler.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
--- a/test/leaseExpiry.test.ts
+++ b/test/leaseExpiry.test.ts
@@ -1,8 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { isMajority, mayConfirmExtension, readLeadership } from "../src/coordination/leadership/election.js";
-import { Job, type Attempt } from "../src/bookkeeping/jobs.js";
-import { Machine } from "../src/bookkeeping/machines.js";
+import { isMajority, mayConfirmExtension, readLeadership } from "../src/coordination/leadership/elector.js";
+import { Job, type Attempt, Machine } from "../src/bookkeeping/workload.js";
 import { AcknowledgementLimits } from "../src/coordination/heartbeats/acknowledgementLimits.js";
 import { ConfirmedCancellations } from "../src/coordination/heartbeats/confirmedCancellations.js";
 import type { JobSpec } from "../src/protocol/model.js";
@@ -22,7 +21,7 @@
   longestZoneLeaseMs,
   leaseOverEverywhereMs,
   TOKENS_PER_TERM,
-} from "../src/coordination/leadership/leaseExpiry.js";
+} from "../src/coordination/term/leaseExpiry.js";
 
 test("absence from a report proves a task gone only behind a higher token or session", () => {
   const mine = { sentToken: 100, sentEpoch: 2, inherited: false };
--- a/test/ledger.test.ts
+++ b/test/ledger.test.ts
@@ -1,8 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { Job, type Attempt } from "../src/bookkeeping/jobs.js";
+import { Job, type Attempt, Machine } from "../src/bookkeeping/workload.js";
 import { composeTransaction, type Transaction } from "../src/bookkeeping/transaction.js";
-import { Machine } from "../src/bookkeeping/machines.js";
 import { keys } from "../src/bookkeeping/records.js";
 import type { JobSpec } from "../src/protocol/model.js";
 
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -2,7 +2,7 @@
 import test from "node:test";
 import { serveOrder, targetsS, type QueueEntry } from "../src/coordination/scheduling/queue.js";
 import { cycleGapMs } from "../src/coordination/scheduling/scheduler.js";
-import type { Job } from "../src/bookkeeping/jobs.js";
+import type { Job } from "../src/bookkeeping/workload.js";
 
 let since = 0;
 function entry(id: string, work: number, duesS: number[], extra: Partial<QueueEntry> = {}): QueueEntry {
