--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -199,7 +199,7 @@
     void this.state.get(keys.types, this.out.clock.nowMs() + 2000).then((got) => {
       const types = got.kind === "found" ? decodeMachineTypes(got.item.value) : null;
       if (types && types.length > 0)
-        this.leader.tell({ kind: "cloud", event: { kind: "types", types, stored: true } });
+        this.leader.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } });
       else this.out.clock.after(Math.min(1000, 200 + round * 100), () => this.fetchMachineTypes(round + 1));
     });
   }
--- a/src/coordination/consolidation/consolidationRounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -7,7 +7,7 @@
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { TermLease } from "../term/termLease.js";
 import type { WriteRequests } from "../term/writeQueue.js";
-import { allows, zoneRoom } from "../scheduling/views.js";
+import { allowsPlacement, zoneRoom } from "../scheduling/fitting.js";
 import { release, type MeasuredMachine } from "./release.js";
 import { loadOf, ringOf } from "./rings.js";
 import { squeeze, type LoadedTask, type Move } from "./squeeze.js";
@@ -110,7 +110,11 @@
   private mayMove(attempt: Attempt, name: string): boolean {
     const machine = this.context.machines.get(name);
     const { spec } = attempt.job;
-    if (!machine?.type || machine.cordoned || !allows(spec, machine.type.name, machine.zone, machine.spot))
+    if (
+      !machine?.type ||
+      machine.cordoned ||
+      !allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)
+    )
       return false;
     const zones = new Map<string, number>();
     for (const b of attempt.job.attempts)
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -93,7 +93,7 @@
     const { term } = lease;
     const parts = buildTermParts(lease, this.options, this.estimates, {
       tell: (message) => this.tell({ kind: "term", term, message }),
-      onStoredTypes: (types) => this.tell({ kind: "cloud", event: { kind: "types", types, stored: true } }),
+      onStoredTypes: (types) => this.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
     });
     return new LeaderTerm(parts, this.options);
   }
@@ -103,7 +103,7 @@
       this.term?.handle({ kind: "cloud", event });
       return;
     }
-    if (!event.stored || !this.estimates.typesKnown) this.setTypes(event.types, !event.stored);
+    if (!event.isStored || !this.estimates.areTypesKnown) this.setTypes(event.types, !event.isStored);
     this.term?.requestCycle();
   }
 
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -29,7 +29,7 @@
     private readonly options: LeaderOptions,
   ) {
     const { lease, jobs, machines, estimates } = parts;
-    this.lastTypesMs = estimates.typesKnown ? lease.startedMs : -Infinity;
+    this.lastTypesMs = estimates.areTypesKnown ? lease.startedMs : -Infinity;
     this.taskCounts = new TaskCountPublisher(jobs, (counts) => options.onTaskCounts(lease.term, counts));
     this.fleetUsage = new FleetUsageLog(machines, lease.startedMs);
     this.overload = new OverloadDetector(lease.startedMs);
@@ -126,7 +126,7 @@
   }
 
   private askForTypes(nowMs: number): void {
-    const everyMs = this.parts.estimates.typesKnown ? TYPES_EVERY_MS : UNKNOWN_TYPES_EVERY_MS;
+    const everyMs = this.parts.estimates.areTypesKnown ? TYPES_EVERY_MS : UNKNOWN_TYPES_EVERY_MS;
     if (nowMs - this.lastTypesMs <= everyMs) return;
     this.lastTypesMs = nowMs;
     this.options.cloud.tell({ kind: "types" });
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -24,7 +24,7 @@
 }
 
 export type CloudEvent =
-  | { kind: "types"; types: MachineType[]; stored?: boolean }
+  | { kind: "types"; types: MachineType[]; isStored?: boolean }
   | { kind: "listed"; machines: ListedMachine[]; askedMs: number }
   | { kind: "rented"; order: ScaleOutOrder; names: string[] }
   | { kind: "no capacity"; order: ScaleOutOrder }
--- a/src/coordination/provisioning/provisioner.ts
+++ b/src/coordination/provisioning/provisioner.ts
@@ -11,7 +11,8 @@
 import { planScaleOut } from "./scaleOutPlan.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { PlacementPlan } from "../scheduling/placementPlan.js";
-import { allows, howMany, type MachineView } from "../scheduling/views.js";
+import { allowsPlacement, fittingTasks } from "../scheduling/fitting.js";
+import type { MachineView } from "../scheduling/views.js";
 
 /** What the cloud refused is asked for again after this, then after twice as long, and so on. */
 const FIRST_REFUSED_MS = 8000;
@@ -112,10 +113,10 @@
   }
 
   /** Nothing that the job could use is to be had there at present. */
-  refusedAll(spec: JobSpec, zone: string, now: number): boolean {
+  isEverythingRefused(spec: JobSpec, zone: string, now: number): boolean {
     for (const type of this.context.estimates.types) {
-      if (!type.zones.includes(zone) || !allows(spec, type.name, zone, false)) continue;
-      if (howMany(spec, { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb }) <= 0) continue;
+      if (!type.zones.includes(zone) || !allowsPlacement(spec, type.name, zone, false)) continue;
+      if (fittingTasks(spec, { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb }) <= 0) continue;
       for (const spot of spec.spot ? [true, false] : [false])
         if ((this.refusedUntilMs.get(`${type.name} ${zone} ${spot}`) ?? 0) <= now) return false;
     }
--- a/src/coordination/provisioning/scaleOutPlan.ts
+++ b/src/coordination/provisioning/scaleOutPlan.ts
@@ -1,6 +1,7 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import type { AcceleratorReserve, JobView, MachineView } from "../scheduling/views.js";
-import { allows, emptyView, fits, howMany, takeFrom, zoneRoom } from "../scheduling/views.js";
+import { allowsPlacement, fits, fittingTasks, subtractTasks, zoneRoom } from "../scheduling/fitting.js";
+import { emptyMachineView } from "../scheduling/views.js";
 
 export interface ScaleOutTarget {
   type: string;
@@ -41,30 +42,31 @@
     const zones = new Map(job.zones);
     let left = tasks;
     const put = (machine: MachineView): void => {
-      const n = Math.min(left, howMany(spec, machine.free), zoneRoom(spec, zones, machine.zone));
+      const n = Math.min(left, fittingTasks(spec, machine.free), zoneRoom(spec, zones, machine.zone));
       if (n <= 0) return;
-      takeFrom(machine.free, spec, n);
+      subtractTasks(machine.free, spec, n);
       zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + n);
       left -= n;
     };
     for (const m of virtual) {
       if (left <= 0) break;
       if ((spec.gpus === 0 && m.acceleratorReserve) || (only !== null && m.zone !== only)) continue;
-      if (allows(spec, m.type.name, m.zone, m.spot) && fits(spec, m.free)) put(m);
+      if (allowsPlacement(spec, m.type.name, m.zone, m.spot) && fits(spec, m.free)) put(m);
     }
     const cheapest = ordinaryPrice(spec, input.types);
     while (left > 0 && machines < input.maxMachines) {
       let best: { type: MachineType; zone: string; spot: boolean; cost: number } | null = null;
       for (const type of input.types) {
         const whole = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
-        const holds = howMany(spec, whole);
+        const holds = fittingTasks(spec, whole);
         if (holds <= 0) continue;
         for (const zone of type.zones) {
           if (only !== null && zone !== only) continue;
           const room = zoneRoom(spec, zones, zone);
           if (room <= 0) continue;
           for (const spot of spec.spot ? [true, false] : [false]) {
-            if (!allows(spec, type.name, zone, spot) || input.refused(type.name, zone, spot)) continue;
+            if (!allowsPlacement(spec, type.name, zone, spot) || input.refused(type.name, zone, spot))
+              continue;
             if (spec.gpus === 0 && type.gpus > 0 && input.acceleratorReserve(type, spot)) continue;
             const used = Math.min(holds, left, room);
             const price = spot ? type.spotPrice : type.price;
@@ -81,7 +83,7 @@
       target.count++;
       targets.set(key, target);
       machines++;
-      const fresh = emptyView(type, zone, spot, input.acceleratorReserve(type, spot));
+      const fresh = emptyMachineView(type, zone, spot, input.acceleratorReserve(type, spot));
       virtual.push(fresh);
       put(fresh);
     }
@@ -93,7 +95,7 @@
 function ordinaryPrice(spec: JobSpec, types: MachineType[]): number {
   let lowest = Infinity;
   for (const type of types) {
-    const holds = howMany(spec, { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb });
+    const holds = fittingTasks(spec, { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb });
     if (holds > 0 && (spec.types === null || spec.types.includes(type.name)))
       lowest = Math.min(lowest, type.price / holds);
   }
--- a/src/coordination/records/recordLoader.ts
+++ b/src/coordination/records/recordLoader.ts
@@ -107,7 +107,7 @@
     }
     singletons.typesVersion = item.version;
     const types = decodeMachineTypes(item.value);
-    if (types && !estimates.typesKnown) this.context.onStoredTypes(types);
+    if (types && !estimates.areTypesKnown) this.context.onStoredTypes(types);
   }
 
   /** Draws the conclusions that waited for the records. */
--- a/src/coordination/scheduling/estimates.ts
+++ b/src/coordination/scheduling/estimates.ts
@@ -5,7 +5,7 @@
 /** What a controller knows whatever the term: machine types, and what the days have taught. */
 export class Estimates {
   types: MachineType[] = [];
-  typesKnown = false;
+  areTypesKnown = false;
   readonly runTimes = new RunTimeEstimator();
   /** Counts changes of what `claimOn` answers. */
   acceleratorReserveRevision = 0;
@@ -26,9 +26,9 @@
   setTypes(types: MachineType[]): boolean {
     const shape = (list: MachineType[]): string =>
       JSON.stringify(list.map((t) => ({ ...t, price: 0, spotPrice: 0 })));
-    const changed = !this.typesKnown || shape(types) !== shape(this.types);
+    const changed = !this.areTypesKnown || shape(types) !== shape(this.types);
     this.types = types;
-    this.typesKnown = true;
+    this.areTypesKnown = true;
     return changed;
   }
 
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -4,7 +4,7 @@
 import { fetchDelayS, placementCost, roomFor } from "./placementCost.js";
 import type { PlacementInput, PlacementPlan, Reservation } from "./placementPlan.js";
 import { mayEvict, victimsFor } from "./preemption.js";
-import { addTo, allows, fits, howMany, takeFrom, zoneRoom } from "./views.js";
+import { addResources, allowsPlacement, fits, fittingTasks, subtractTasks, zoneRoom } from "./fitting.js";
 import type { JobView, MachineView, VictimView } from "./views.js";
 
 /** Seconds of a start that one more place left in a zone is worth to a gang that comes after. */
@@ -80,16 +80,16 @@
   /** Takes room out of what others may have. */
   private setAside(machine: MachineView, spec: JobSpec, tasks: number, etaS: number): void {
     this.plan.modifiedMachines.add(machine);
-    takeFrom(machine.free, spec, tasks);
+    subtractTasks(machine.free, spec, tasks);
     const amount = machine.reserved?.amount ?? { cpus: 0, gpus: 0, memoryGb: 0 };
-    takeFrom(amount, spec, -tasks);
+    subtractTasks(amount, spec, -tasks);
     machine.reserved = { jobId: spec.id, amount, etaS: Math.max(etaS, machine.reserved?.etaS ?? 0) };
   }
 
   private releaseReserved(machine: MachineView): void {
     if (!machine.reserved) return;
     this.plan.modifiedMachines.add(machine);
-    addTo(machine.free, machine.reserved.amount);
+    addResources(machine.free, machine.reserved.amount);
     machine.reserved = null;
   }
 
@@ -169,7 +169,7 @@
       missing.cpus -= victim.cpus;
       missing.gpus -= victim.gpus;
       dropVictims(machine, [victim]);
-      addTo(machine.leaving, victim);
+      addResources(machine.stopping, victim);
       this.plan.modifiedMachines.add(machine);
       this.plan.evictions.push({ ref: victim.ref, jobId: spec.id });
     }
@@ -189,7 +189,7 @@
     let tasks = 0;
     for (const { machine, tasks: n } of chosen) {
       this.plan.modifiedMachines.add(machine);
-      takeFrom(machine.free, spec, n);
+      subtractTasks(machine.free, spec, n);
       if (!machine.images.has(spec.image)) {
         // Later tasks of this plan see the fetch that this one begins.
         if (!machine.fetching.has(spec.image)) machine.backlogGb += spec.imageGb;
@@ -214,14 +214,14 @@
       const machine = this.byName.get(reservation.machine);
       if (!machine || kept >= missing) continue;
       const room = { ...machine.free };
-      addTo(room, machine.leaving);
+      addResources(room, machine.stopping);
       const n = Math.min(
         reservation.tasks,
         missing - kept,
-        howMany(job.spec, room),
+        fittingTasks(job.spec, room),
         zoneRoom(job.spec, job.zones, machine.zone),
       );
-      if (n <= 0 || howMany(job.spec, machine.free) >= n) continue;
+      if (n <= 0 || fittingTasks(job.spec, machine.free) >= n) continue;
       this.reserve(job, machine, n, reservation.etaS);
       count(job, machine.zone, n);
       kept += n;
@@ -278,7 +278,7 @@
     const { zone, have, soon } = most;
     const whole = have + soon >= want;
     this.takeComing(job, want - have, zone);
-    if (underLimit && have > 0 && (whole || job.aged)) {
+    if (underLimit && have > 0 && (whole || job.hasWaitedLong)) {
       const etaS = whole ? 20 : this.etaS(job, want - have, zone);
       for (const p of this.choose(job, want, Infinity, zone)) this.reserve(job, p.machine, p.tasks, etaS);
       // Its quota is spoken for, too.
@@ -292,8 +292,11 @@
     let n = 0;
     for (const machine of this.open) {
       if (zone !== null && machine.zone !== zone) continue;
-      if (fits(job.spec, machine.free) && allows(job.spec, machine.type.name, machine.zone, machine.spot))
-        n += howMany(job.spec, machine.free);
+      if (
+        fits(job.spec, machine.free) &&
+        allowsPlacement(job.spec, machine.type.name, machine.zone, machine.spot)
+      )
+        n += fittingTasks(job.spec, machine.free);
     }
     return n;
   }
@@ -310,8 +313,8 @@
     for (const machine of this.input.incoming) {
       if (n >= want) break;
       if (zone !== null && machine.zone !== zone) continue;
-      if (allows(job.spec, machine.type.name, machine.zone, machine.spot))
-        n += howMany(job.spec, machine.free);
+      if (allowsPlacement(job.spec, machine.type.name, machine.zone, machine.spot))
+        n += fittingTasks(job.spec, machine.free);
     }
     return Math.min(n, want);
   }
@@ -321,9 +324,9 @@
     for (const machine of this.input.incoming) {
       if (left <= 0) break;
       if (zone !== null && machine.zone !== zone) continue;
-      if (!allows(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
-      const n = Math.min(left, howMany(job.spec, machine.free));
-      takeFrom(machine.free, job.spec, n);
+      if (!allowsPlacement(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
+      const n = Math.min(left, fittingTasks(job.spec, machine.free));
+      subtractTasks(machine.free, job.spec, n);
       left -= n;
     }
   }
@@ -333,9 +336,9 @@
     const times: number[] = [];
     for (const machine of this.input.machines) {
       if (zone !== null && machine.zone !== zone) continue;
-      if (!allows(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
+      if (!allowsPlacement(job.spec, machine.type.name, machine.zone, machine.spot)) continue;
       const whole = { cpus: machine.type.cpus, gpus: machine.type.gpus, memoryGb: machine.type.memoryGb };
-      if (howMany(job.spec, machine.free) > 0 || !fits(job.spec, whole)) continue;
+      if (fittingTasks(job.spec, machine.free) > 0 || !fits(job.spec, whole)) continue;
       times.push(machine.freeInS(this.input.nowMs));
     }
     times.sort((a, b) => a - b);
@@ -369,12 +372,13 @@
         if (!machine.reserved || machine.reserved.etaS < (job.taskS + fetchDelayS(spec, machine)) * 1.3 + 2)
           continue;
         const room = { ...machine.free };
-        addTo(room, machine.reserved.amount);
-        if (!fits(spec, room) || !allows(spec, machine.type.name, machine.zone, machine.spot)) continue;
+        addResources(room, machine.reserved.amount);
+        if (!fits(spec, room) || !allowsPlacement(spec, machine.type.name, machine.zone, machine.spot))
+          continue;
         if (zone !== null && machine.zone !== zone) continue;
         this.releaseReserved(machine);
       }
-      if (!allows(spec, machine.type.name, machine.zone, machine.spot)) continue;
+      if (!allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)) continue;
       fitting++;
       if ((zone !== null && machine.zone !== zone) || job.avoid.has(machine.name)) continue;
       // Fetches share the line: lesser work begins none of its own while greater work waits for its image.
@@ -409,9 +413,9 @@
   private makeRoom(job: JobView, want: number, withinS: number): number {
     const { spec } = job;
     // The lowest priority stops nobody, unless its team has less than its guarantee.
-    if ((spec.priority === 0 && !job.guaranteed) || this.preemptors >= this.input.maxPreemptors) return 0;
+    if ((spec.priority === 0 && !job.isGuaranteed) || this.preemptors >= this.input.maxPreemptors) return 0;
     if (!this.input.mayStop(job)) return 0;
-    const shape = `${spec.team} ${spec.priority} ${job.guaranteed} ${spec.cpus} ${spec.gpus} ${spec.memoryGb} ${spec.zone} ${spec.spot} ${spec.types?.join()}`;
+    const shape = `${spec.team} ${spec.priority} ${job.isGuaranteed} ${spec.cpus} ${spec.gpus} ${spec.memoryGb} ${spec.zone} ${spec.spot} ${spec.types?.join()}`;
     if (this.noVictimsFor.has(shape)) return 0;
     this.preemptors++;
     let passedOver = withinS < Infinity;
@@ -419,7 +423,7 @@
     const options: { m: MachineView; cost: number }[] = [];
     this.plan.machinesExamined += this.input.machines.length;
     for (const machine of this.input.machines) {
-      if (!allows(spec, machine.type.name, machine.zone, machine.spot)) continue;
+      if (!allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)) continue;
       if (spec.gpus === 0 && machine.type.gpus > 0 && machine.acceleratorReserve) continue;
       const delay = fetchDelayS(spec, machine);
       if (
@@ -444,7 +448,7 @@
     let evictions = this.plan.evictions.length;
     for (const { m } of options) {
       const free = { ...m.free };
-      const leaving = { ...m.leaving };
+      const leaving = { ...m.stopping };
       const entry = { victims: [] as VictimView[], tasks: 0 };
       while (missing > 0 && zoneRoom(spec, zones, m.zone) > 0) {
         const found = victimsFor(job, m, this.input);
@@ -452,22 +456,22 @@
         evictions += found.victims.length;
         entry.victims.push(...found.victims);
         entry.tasks++;
-        takeFrom(m.free, spec, 1);
-        for (const v of found.victims) addTo(m.leaving, v);
+        subtractTasks(m.free, spec, 1);
+        for (const v of found.victims) addResources(m.stopping, v);
         dropVictims(m, found.victims);
         zones.set(m.zone, (zones.get(m.zone) ?? 0) + 1);
         missing--;
       }
       this.plan.modifiedMachines.add(m);
       Object.assign(m.free, free);
-      Object.assign(m.leaving, leaving);
+      Object.assign(m.stopping, leaving);
       if (entry.tasks > 0) picked.set(m, entry);
       if (missing <= 0) break;
     }
     if (missing > 0 && spec.kind === "gang") return 0;
     for (const [m, { victims, tasks }] of picked) {
       for (const victim of victims) {
-        addTo(m.leaving, victim);
+        addResources(m.stopping, victim);
         this.plan.evictions.push({ ref: victim.ref, jobId: spec.id });
       }
       // The room is spoken for: nobody may take it in the meantime, least of all who was just stopped for it.
--- a/src/coordination/scheduling/placementCost.ts
+++ b/src/coordination/scheduling/placementCost.ts
@@ -1,6 +1,7 @@
 /** How well a machine suits a job's tasks, and how many of them it takes. Pure. */
 import type { JobSpec } from "../../protocol/model.js";
-import { howMany, type JobView, type MachineView } from "./views.js";
+import { fittingTasks } from "./fitting.js";
+import type { JobView, MachineView } from "./views.js";
 
 /** Seconds that a task would wait for its image there. */
 export function fetchDelayS(spec: JobSpec, machine: MachineView): number {
@@ -44,7 +45,7 @@
   // A zone without controllers is silent when it is cut off, and its leases run out.
   if (spec.kind === "service" && !machine.zoneHasController) c += 3;
   // A service stays, and with it its machine: on a large one it would pay for all the room around it.
-  if (spec.kind === "service") c += Math.min(6, Math.max(0, howMany(spec, machine.type) - ROOMY) / 3);
+  if (spec.kind === "service") c += Math.min(6, Math.max(0, fittingTasks(spec, machine.type) - ROOMY) / 3);
   // Dear machines last, so that they are the ones that empty and are given back.
   c += Math.min(12, (machine.spot ? machine.type.spotPrice : machine.type.price) / 2.5);
   // What has been idle longest is left idle, until it is given back.
@@ -61,13 +62,13 @@
  * machine would keep it rented at many times the price of its room.
  */
 export function roomFor(spec: JobSpec, machine: MachineView): number {
-  const n = howMany(spec, machine.free);
+  const n = fittingTasks(spec, machine.free);
   if (n === 0 || spec.gpus > 0 || machine.type.gpus === 0 || !machine.acceleratorReserve) return n;
-  if (spec.kind === "service" || !machine.gpuInUse) return 0;
+  if (spec.kind === "service" || !machine.runsGpuWork) return 0;
   const spare = {
     cpus: machine.free.cpus - machine.free.gpus * machine.acceleratorReserve.cpus,
     gpus: 0,
     memoryGb: machine.free.memoryGb - machine.free.gpus * machine.acceleratorReserve.memoryGb,
   };
-  return Math.min(n, howMany(spec, spare));
+  return Math.min(n, fittingTasks(spec, spare));
 }
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -1,6 +1,7 @@
 /** Which running tasks may be stopped for which waiting job ("Preemption" in the protocol). Pure. */
 import type { Resources } from "../../bookkeeping/resources.js";
-import { addTo, fits, type JobView, type MachineView, type VictimView } from "./views.js";
+import { addResources, fits } from "./fitting.js";
+import type { JobView, MachineView, VictimView } from "./views.js";
 
 /** What preemption depends on besides the job and the victim. */
 interface PreemptionInput {
@@ -22,14 +23,14 @@
   const borrowed = !input.guaranteed(victim.jobId);
   // So that a team gets its guarantee, what another team borrows may be stopped. And what borrows stops nothing that
   // is guaranteed, whatever its priority: it would be stopped for it in turn, and so on for ever.
-  return job.guaranteed ? borrowed || lesser : borrowed && lesser;
+  return job.isGuaranteed ? borrowed || lesser : borrowed && lesser;
 }
 
 /** Who would have to go from the machine so that one more task fits; null: nobody's going helps. */
 export function victimsFor(job: JobView, machine: MachineView, input: PreemptionInput): Victims | null {
   const { spec } = job;
   const room: Resources = { ...machine.free };
-  addTo(room, machine.leaving);
+  addResources(room, machine.stopping);
   const victims: VictimView[] = [];
   let loss = 0;
   if (fits(spec, room)) return { victims, loss };
@@ -43,7 +44,7 @@
     const lacksOnlyGpus = spec.cpus <= room.cpus && spec.memoryGb <= room.memoryGb;
     if (victim.gpus === 0 && spec.gpus > room.gpus + 1e-6 && lacksOnlyGpus) continue;
     victims.push(victim);
-    addTo(room, victim);
+    addResources(room, victim);
     loss += victim.lossS(now);
   }
   return fits(spec, room) ? { victims, loss } : null;
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -17,7 +17,7 @@
 import type { TermLease } from "../term/termLease.js";
 import type { WriteRequests } from "../term/writeQueue.js";
 import { Reservations } from "./reservations.js";
-import { emptyView, type JobView, type MachineView, type VictimView } from "./views.js";
+import { emptyMachineView, type JobView, type MachineView, type VictimView } from "./views.js";
 
 /**
  * Cycles are no closer together than this, nor than some times what the last one took: what ends or comes meanwhile is
@@ -54,7 +54,7 @@
 export interface FleetScaling {
   readonly openOrders: ReadonlyMap<string, OpenOrder>;
   /** Nothing that the job could use is to be had in that zone at present. */
-  refusedAll(spec: JobSpec, zone: string, nowMs: number): boolean;
+  isEverythingRefused(spec: JobSpec, zone: string, nowMs: number): boolean;
   /** Scales out for what the plan left unplaced; `incoming`: machines that are on their way already. */
   scaleOut(plan: PlacementPlan, incoming: MachineView[]): void;
 }
@@ -99,7 +99,7 @@
   runCycle(): void {
     const { lease, jobs, estimates, cycles } = this.context;
     cycles.takeDue();
-    if (!lease.isLoaded || !lease.mayWrite() || !estimates.typesKnown) return;
+    if (!lease.isLoaded || !lease.mayWrite() || !estimates.areTypesKnown) return;
     const now = this.context.clock.nowMs();
     const guaranteed = this.guaranteed();
     const entries: QueueEntry[] = [];
@@ -141,7 +141,7 @@
       if (!type) continue;
       for (let i = 0; i < order.count; i++)
         incoming.push(
-          emptyView(type, order.zone, order.spot, estimates.acceleratorReserveOn(type, order.spot)),
+          emptyMachineView(type, order.zone, order.spot, estimates.acceleratorReserveOn(type, order.spot)),
         );
     }
     let lowest = Infinity;
@@ -159,8 +159,8 @@
       quota: quotaView(usage, jobs.byId),
       maxEvictions: 40,
       maxPreemptors: 8,
-      mayStop: (j) => lowest < j.spec.priority || (j.guaranteed && borrowing),
-      refused: (spec, zone) => provisioner.refusedAll(spec, zone, now),
+      mayStop: (j) => lowest < j.spec.priority || (j.isGuaranteed && borrowing),
+      refused: (spec, zone) => provisioner.isEverythingRefused(spec, zone, now),
       guaranteed: (id) => {
         const job = jobs.get(id);
         return job !== undefined && guaranteed.has(job);
@@ -283,8 +283,8 @@
       taskLimit: this.limit(entry),
       fairShareTasks: Math.max(0, entry.fairShare - entry.job.attempts.size),
       taskS: entry.job.spec.kind === "service" ? Infinity : entry.taskS,
-      aged: entry.aged,
-      guaranteed: entry.guaranteed,
+      hasWaitedLong: entry.aged,
+      isGuaranteed: entry.guaranteed,
       zones,
       avoid,
       waitTargetLeftS: this.quickS(entry.job, now),
@@ -338,7 +338,7 @@
   }
 
   private build(machine: Machine, type: MachineType): MachineView {
-    const view = emptyView(
+    const view = emptyMachineView(
       type,
       machine.zone,
       machine.spot,
@@ -355,13 +355,13 @@
     view.zoneHasController = this.context.estimates.controllerZones.has(machine.zone);
     for (const attempt of machine.attempts) {
       const { spec } = attempt.job;
-      view.gpuInUse ||= spec.gpus > 0;
+      view.runsGpuWork ||= spec.gpus > 0;
       if (machine.images.isFetching(spec.image))
         view.fetchPriority = Math.max(view.fetchPriority, spec.priority);
       if (!attempt.stop) continue;
-      view.leaving.cpus += spec.cpus;
-      view.leaving.gpus += spec.gpus;
-      view.leaving.memoryGb += spec.memoryGb;
+      view.stopping.cpus += spec.cpus;
+      view.stopping.gpus += spec.gpus;
+      view.stopping.memoryGb += spec.memoryGb;
     }
     let victims: VictimView[] | null = null;
     view.victims = () => (victims ??= victimsOn(machine));
--- a/src/coordination/scheduling/views.ts
+++ b/src/coordination/scheduling/views.ts
@@ -1,10 +1,13 @@
+/**
+ * Snapshots that the pure scheduling decisions work on. The scheduler builds them for each cycle, and decisions may
+ * write on them: they plan by taking room out of the snapshots.
+ */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import type { Resources } from "../../bookkeeping/resources.js";
 
-/** Snapshots that the pure decisions work on. The placer makes them; decisions may scribble on them. */
-
+/** A running task that may be stopped on its own to make room. */
 export interface VictimView {
-  /** Whatever the placer kept; decisions hand it back. */
+  /** The scheduler's handle of the attempt; decisions pass it back unread. */
   ref: unknown;
   jobId: string;
   team: string;
@@ -16,44 +19,45 @@
   lossS: (nowMs: number) => number;
 }
 
+/** A machine as one scheduling cycle sees it. */
 export interface MachineView {
   name: string;
   type: MachineType;
   zone: string;
   spot: boolean;
   free: Resources;
-  /** What tasks that are being stopped will leave. */
-  leaving: Resources;
+  /** Resources of tasks that are being stopped: free soon, but not yet. */
+  stopping: Resources;
   images: Set<string>;
   /** Images on their way: a task can wait for one of them without a fetch of its own. */
   fetching: Set<string>;
   backlogGb: number;
-  /** A controller stands in its zone, so that a cut between zones doesn't silence it. */
+  /** A controller runs in its zone, so that a network partition between zones doesn't cut off its heartbeats. */
   zoneHasController: boolean;
-  /** Highest priority that waits for a fetch there; -1: none. */
+  /** Highest priority of the tasks there that wait for an image fetch; -1: none. */
   fetchPriority: number;
-  /** Room that a reservation keeps, for whom, and in how many seconds that one expects to begin. */
+  /** Resources that a reservation keeps, for which job, and in how many seconds that job expects to begin. */
   reserved: { jobId: string; amount: Resources; etaS: number } | null;
-  /** Made only for who asks: most cycles stop nobody. */
+  /** Built on the first call only: most cycles stop nothing. */
   victims: () => VictimView[];
-  /** What work with accelerators wants beside each of them here; null: none of it may come here. */
+  /** What each of its accelerators has to keep beside it for GPU work; null: no GPU work may be placed here. */
   acceleratorReserve: AcceleratorReserve | null;
-  /** Such work runs here now, so that the machine is paid for anyway. */
-  gpuInUse: boolean;
-  /** Since when nothing runs here; null: something does, or it is not up. */
+  /** GPU work runs here now, so the machine is paid for anyway. */
+  runsGpuWork: boolean;
+  /** Since when it has had no attempts; null: it has some, or it is not up. */
   idleSinceMs: number | null;
-  /** Seconds until what runs here should be over. */
+  /** Seconds until everything that runs here is expected to have ended. */
   freeInS: (nowMs: number) => number;
 }
 
-/** The most that work with accelerators, as seen so far, takes for each of them. */
+/** The most that GPU jobs seen so far need for each accelerator. */
 export interface AcceleratorReserve {
   cpus: number;
   memoryGb: number;
 }
 
-/** A machine with nothing on it, as it will be when it is up. */
-export function emptyView(
+/** A machine with nothing on it, as it will be once it has booted. */
+export function emptyMachineView(
   type: MachineType,
   zone: string,
   spot: boolean,
@@ -65,7 +69,7 @@
     zone,
     spot,
     free: { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb },
-    leaving: { cpus: 0, gpus: 0, memoryGb: 0 },
+    stopping: { cpus: 0, gpus: 0, memoryGb: 0 },
     images: new Set(),
     fetching: new Set(),
     backlogGb: 0,
@@ -74,82 +78,45 @@
     reserved: null,
     victims: () => [],
     acceleratorReserve,
-    gpuInUse: false,
+    runsGpuWork: false,
     idleSinceMs: null,
     freeInS: () => 0,
   };
 }
 
+/** A job as one scheduling cycle sees it. */
 export interface JobView {
   spec: JobSpec;
   /** Tasks without result or attempt. */
   pending: number;
-  /** Tasks to place now at the most: a large job that has waited long begins with a few. */
+  /** The most tasks to place in this cycle: a large job that has waited long begins with a few. */
   taskLimit: number;
-  /** Of these, tasks to place before others of its kind have their share of the room. */
+  /** Of these, the tasks to place before other jobs of its kind have their fair share. */
   fairShareTasks: number;
-  guaranteed: boolean;
-  /** Tasks that may be somewhere, by zone. */
+  /** It falls within its team's guaranteed quota. */
+  isGuaranteed: boolean;
+  /** Attempts that may be running, by zone. */
   zones: Map<string, number>;
+  /** Machines that it has lately failed on. */
   avoid: Set<string>;
-  /** Seconds that its tasks may still wait for a start without missing their class's target; null: no target left. */
+  /** Seconds that its tasks may still wait for a start without missing their class's objective; null: none applies. */
   waitTargetLeftS: number | null;
-  /** Where a move wants it; null: anywhere. */
+  /** Machine that consolidation moves it to; null: any. */
   preferredMachine: string | null;
-  /** Seconds that one of its tasks is expected to run. */
+  /** Seconds that one of its tasks is expected to run; Infinity: a service. */
   taskS: number;
-  /** It has waited so long that room is kept for it, though not all of it is there. */
-  aged: boolean;
+  /** It has waited so long that room is reserved for it piece by piece. */
+  hasWaitedLong: boolean;
 }
 
+/** The teams' limits as one scheduling cycle sees them (rule `quota`); counts are of tasks of the given job's shape. */
 export interface QuotaView {
-  /** Tasks of this job's shape that the team may still start. */
+  /** Tasks that the team may still start. */
   room(spec: JobSpec): number;
-  /** Tasks of this job's shape that fit once the team's tasks that are being stopped are gone. */
+  /** Tasks that the team may start once its tasks that are being stopped have ended. */
   roomWhenStopped(spec: JobSpec): number;
-  /** Tasks of this job's shape that fit once all the team's work is gone that ends by itself or may be stopped for it. */
+  /** Tasks that the team may start once all its work has ended that ends by itself or may be stopped for the job. */
   attainable(spec: JobSpec): number;
+  /** Counts tasks that the cycle plans to start. */
   take(spec: JobSpec, tasks: number): void;
 }
-
-const EPS = 1e-6;
-
-export function fits(spec: JobSpec, free: Resources): boolean {
-  return spec.cpus <= free.cpus + EPS && spec.gpus <= free.gpus + EPS && spec.memoryGb <= free.memoryGb + EPS;
-}
-
-export function howMany(spec: JobSpec, free: Resources): number {
-  const by = (need: number, have: number): number => (need > 0 ? Math.floor((have + EPS) / need) : Infinity);
-  return Math.max(
-    0,
-    Math.min(by(spec.cpus, free.cpus), by(spec.gpus, free.gpus), by(spec.memoryGb, free.memoryGb)),
-  );
-}
-
-export function takeFrom(free: Resources, spec: JobSpec, tasks: number): void {
-  free.cpus -= spec.cpus * tasks;
-  free.gpus -= spec.gpus * tasks;
-  free.memoryGb -= spec.memoryGb * tasks;
-}
-
-export function addTo(free: Resources, what: Resources): void {
-  free.cpus += what.cpus;
-  free.gpus += what.gpus;
-  free.memoryGb += what.memoryGb;
-}
-
-/** Type, zone and kind that the job itself asks for (rule `wrong_place`). */
-export function allows(spec: JobSpec, type: string, zone: string, spot: boolean): boolean {
-  return (
-    (spec.types === null || spec.types.includes(type)) &&
-    (spec.zone === null || spec.zone === zone) &&
-    (!spot || spec.spot)
-  );
-}
-
-/** Tasks that a zone may still take, given where others of the job may be (rule `wrong_place`). */
-export function zoneRoom(spec: JobSpec, zones: Map<string, number>, zone: string): number {
-  if (spec.oneZone) for (const [other, n] of zones) if (other !== zone && n > 0) return 0;
-  if (!spec.spread) return Infinity;
-  return Math.ceil(spec.tasks / 2) - (zones.get(zone) ?? 0);
-}
--- a/test/fair.test.ts
+++ b/test/fair.test.ts
@@ -2,7 +2,7 @@
 import test from "node:test";
 import { place } from "../src/coordination/scheduling/placement.js";
 import type { Reservation } from "../src/coordination/scheduling/placementPlan.js";
-import { emptyView, type JobView, type MachineView } from "../src/coordination/scheduling/views.js";
+import { emptyMachineView, type JobView, type MachineView } from "../src/coordination/scheduling/views.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
 import { World } from "./fakes/world.js";
 
@@ -222,13 +222,13 @@
     pending: spec.tasks,
     taskLimit: Infinity,
     fairShareTasks: Infinity,
-    guaranteed: false,
+    isGuaranteed: false,
     zones: new Map(),
     avoid: new Set(),
     waitTargetLeftS: null,
     preferredMachine: null,
     taskS: 20,
-    aged: false,
+    hasWaitedLong: false,
   };
 }
 
@@ -260,7 +260,7 @@
 
 function machines(n: number, full: (i: number) => boolean): MachineView[] {
   return Array.from({ length: n }, (_, i) => {
-    const view = emptyView(type("m", 16), i % 2 ? "a" : "b", false, null);
+    const view = emptyMachineView(type("m", 16), i % 2 ? "a" : "b", false, null);
     view.name = `host-${i}`;
     if (full(i)) view.free = { cpus: 0, gpus: 0, memoryGb: 0 };
     return view;
@@ -292,7 +292,7 @@
 });
 
 test("room is sought by stopping others once for a shape that nobody's going helps, not once for each job", () => {
-  const jobs = Array.from({ length: 200 }, (_, i) => ({ ...job(i), guaranteed: true }));
+  const jobs = Array.from({ length: 200 }, (_, i) => ({ ...job(i), isGuaranteed: true }));
   const full = machines(1000, () => true);
   const plan = place({ ...input(jobs, full), mayStop: () => true });
   assert.deepEqual([plan.placements.length, plan.evictions.length], [0, 0]);
@@ -304,7 +304,7 @@
 
 test("room kept for a gang is lent to what is over before the rest of it comes, and to nothing else", () => {
   const gang = job(9, { kind: "gang", tasks: 3, cpus: 16, memoryGb: 10, oneZone: true });
-  gang.aged = true;
+  gang.hasWaitedLong = true;
   const start = place(
     input(
       [gang],
