--- a/src/coordination/heartbeats/acknowledgementLimits.ts
+++ b/src/coordination/heartbeats/acknowledgementLimits.ts
@@ -1,6 +1,6 @@
 import type { Job, Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
-import { acknowledgementLimitMs } from "../term/leaseExpiry.js";
+import { acknowledgementLimitMs } from "../term/acknowledgementLimit.js";
 import { GRANT_MS } from "./heartbeatServerRegistry.js";
 
 /** What the leader and those under its grants may acknowledge, by what it knows of cancellations (`ackLimitMs`). */
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -1,7 +1,7 @@
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers.js";
 import type { Platform } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
-import { MIN_ZONE_LEASE_MS } from "../term/leaseExpiry.js";
+import { MIN_ZONE_LEASE_MS } from "../term/acknowledgementLimit.js";
 import type { Attempts } from "../term/attempts.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { TermLease } from "../term/termLease.js";
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -6,7 +6,8 @@
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
 import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
-import { DRIFT, firstToken } from "../term/leaseExpiry.js";
+import { CLOCK_DRIFT } from "../term/clockDrift.js";
+import { firstFencingToken } from "../term/fencingTokens.js";
 import { ConfirmedCancellations } from "./confirmedCancellations.js";
 import { WorkerBalancer } from "./workerBalancer.js";
 
@@ -258,12 +259,15 @@
       this.flushSoon();
     }
     if (grant.requestedAtMs > now || now - grant.requestedAtMs > 10_000) return;
-    this.grantUntilMs = Math.max(this.grantUntilMs, grant.requestedAtMs + grant.durationMs * (1 - 2 * DRIFT));
+    this.grantUntilMs = Math.max(
+      this.grantUntilMs,
+      grant.requestedAtMs + grant.durationMs * (1 - 2 * CLOCK_DRIFT),
+    );
     this.rightUntilMs = Math.max(this.rightUntilMs, this.grantUntilMs);
     if (grant.zoneDurationMs > 0)
       this.zoneLeaseUntilMs = Math.max(
         this.zoneLeaseUntilMs,
-        grant.requestedAtMs + grant.zoneDurationMs * (1 - 2 * DRIFT),
+        grant.requestedAtMs + grant.zoneDurationMs * (1 - 2 * CLOCK_DRIFT),
       );
     this.lastGrantIssuedAtMs = Math.max(this.lastGrantIssuedAtMs, grant.issuedAtMs);
     this.confirmedCancellations.acknowledgedUpTo(grant.cancellationSeq);
@@ -284,7 +288,7 @@
       else reply({ status: 421, body: encodeRedirect(elsewhere) });
       return;
     }
-    if (report.fencingToken >= firstToken(this.term + 1)) {
+    if (report.fencingToken >= firstFencingToken(this.term + 1)) {
       // A later leader has spoken to it: a 200 from us would be dropped and hold the worker here.
       this.dropGrants();
       this.options.onLaterTerm(this.term);
@@ -311,7 +315,7 @@
     }
     reply({
       status: 200,
-      body: encodeHeartbeatResponse(Math.max(firstToken(this.term), report.fencingToken), []),
+      body: encodeHeartbeatResponse(Math.max(firstFencingToken(this.term), report.fencingToken), []),
     });
     const same = known !== undefined && isUnchanged(known.heartbeat, report);
     const entry = { heartbeat: report, epoch: report.epoch, tick: report.tick, receivedMs: now };
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -1,5 +1,6 @@
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers.js";
-import { DRIFT, type HeartbeatServerFacts } from "../term/leaseExpiry.js";
+import { CLOCK_DRIFT } from "../term/clockDrift.js";
+import type { HeartbeatServerFacts } from "../term/leaseProofs.js";
 
 /** How long a controller may acknowledge reports without hearing from the leader again. */
 export const GRANT_MS = 2000;
@@ -62,8 +63,8 @@
         // With its first frame of this term it has given up what an earlier leader gave it.
         zoneBlindMs: nowMs,
         // In this term it could acknowledge nothing before its first grant.
-        coveredMs: nowMs,
-        blindMs: -Infinity,
+        acknowledgementsKnownUntilMs: nowMs,
+        acknowledgementsUnknownBeforeMs: -Infinity,
         incarnation: update.incarnation,
         sequence: 0,
         machines: 0,
@@ -80,7 +81,7 @@
     if (record.incarnation !== update.incarnation || update.sequence !== record.sequence + 1) {
       // A lost frame named acknowledgements that nobody will name again. A process that came back may have had
       // untold ones as well, and its first frame may follow a grant to its forerunner.
-      if (record.grantUntilMs > -Infinity) record.blindMs = nowMs;
+      if (record.grantUntilMs > -Infinity) record.acknowledgementsUnknownBeforeMs = nowMs;
       if (update.sequence !== 1) record.missingMs = nowMs;
     }
     // Asked until it is answered: asked once, and the question lost or too late for who stood still, a machine whose last
@@ -93,7 +94,10 @@
     }
     record.incarnation = update.incarnation;
     record.sequence = update.sequence;
-    record.coveredMs = Math.max(record.coveredMs, Math.min(update.lastGrantIssuedAtMs, nowMs));
+    record.acknowledgementsKnownUntilMs = Math.max(
+      record.acknowledgementsKnownUntilMs,
+      Math.min(update.lastGrantIssuedAtMs, nowMs),
+    );
     record.machines = update.machines;
     record.lagMs = update.lagMs;
     record.receivedMs = nowMs;
@@ -134,11 +138,11 @@
     if (!record || durationMs <= 0 || nowMs - record.grantedMs < MIN_GAP_MS) return null;
     record.grantedMs = nowMs;
     // It counts from when it asked, which was before now.
-    record.grantUntilMs = Math.max(record.grantUntilMs, nowMs + durationMs * (1 + 2 * DRIFT) + 10);
+    record.grantUntilMs = Math.max(record.grantUntilMs, nowMs + durationMs * (1 + 2 * CLOCK_DRIFT) + 10);
     if (zoneDurationMs > 0)
       record.zoneLeaseUntilMs = Math.max(
         record.zoneLeaseUntilMs,
-        nowMs + zoneDurationMs * (1 + 2 * DRIFT) + 10,
+        nowMs + zoneDurationMs * (1 + 2 * CLOCK_DRIFT) + 10,
       );
     const resync = record.missingMs < Infinity;
     return {
@@ -182,14 +186,20 @@
       const own = zone === "" || serverZone === zone;
       if (!record) {
         if (!own || this.longestZoneLeaseMs === 0) continue;
-        const grantUntilMs = othersSilentFromMs + this.longestZoneLeaseMs * (1 + 2 * DRIFT);
-        yield { grantUntilMs, coveredMs: -Infinity, blindMs: -Infinity };
+        const grantUntilMs = othersSilentFromMs + this.longestZoneLeaseMs * (1 + 2 * CLOCK_DRIFT);
+        yield {
+          grantUntilMs,
+          acknowledgementsKnownUntilMs: -Infinity,
+          acknowledgementsUnknownBeforeMs: -Infinity,
+        };
       } else if (own) {
         yield {
           grantUntilMs: Math.max(record.grantUntilMs, record.zoneLeaseUntilMs),
-          coveredMs: record.coveredMs,
-          blindMs:
-            this.longestZoneLeaseMs === 0 ? record.blindMs : Math.max(record.blindMs, record.zoneBlindMs),
+          acknowledgementsKnownUntilMs: record.acknowledgementsKnownUntilMs,
+          acknowledgementsUnknownBeforeMs:
+            this.longestZoneLeaseMs === 0
+              ? record.acknowledgementsUnknownBeforeMs
+              : Math.max(record.acknowledgementsUnknownBeforeMs, record.zoneBlindMs),
         };
       } else yield record;
     }
--- a/src/coordination/leader/termParts.ts
+++ b/src/coordination/leader/termParts.ts
@@ -32,7 +32,8 @@
 import { WriteQueue } from "../term/writeQueue.js";
 import type { LeaderOptions } from "./leaderOptions.js";
 import type { LeadershipLease } from "../term/leadershipLease.js";
-import { firstAttempt, firstToken, longestZoneLeaseMs } from "../term/leaseExpiry.js";
+import { longestZoneLeaseMs } from "../term/acknowledgementLimit.js";
+import { firstAttemptNumber, firstFencingToken } from "../term/fencingTokens.js";
 import type { TermMessage } from "./termMessage.js";
 
 /** What connects a term's parts to their leader's mailbox. */
@@ -64,7 +65,7 @@
     suspectS: options.operator.suspectS,
     lease: new TermLease(lease, clock),
     jobs,
-    machines: new MachineRegistry(firstToken(lease.term), clock),
+    machines: new MachineRegistry(firstFencingToken(lease.term), clock),
     usage: new QuotaUsage(platform.teams),
     reservations: new Reservations(jobs),
     cycles: new CycleRequests(clock, () => mailbox.tell({ kind: "cycle" })),
@@ -81,7 +82,7 @@
 /** What acts on attempts: commands, consolidation and provisioning. */
 function buildActions(shared: Shared, options: LeaderOptions) {
   const commands = new CommandDeliveries({ ...shared, deliver: options.deliver });
-  const firstNumber = firstAttempt(shared.lease.term);
+  const firstNumber = firstAttemptNumber(shared.lease.term);
   const attempts = new Attempts({ ...shared, commands, firstNumber });
   const rounds = new ConsolidationRounds({ ...shared, attempts });
   const provisioner = new Provisioner({ ...shared, attempts, rounds, cloud: options.cloud });
--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -6,8 +6,7 @@
 import { Actor } from "../../transport/mailbox.js";
 import { log } from "../../transport/log.js";
 import { LeaderSuspicion, LIVENESS_WRITE_MS, SUSPICION_MS } from "./leaderSuspicion.js";
-import type { LeadershipChange } from "../term/leadershipLease.js";
-import { leadershipLeaseUntilMs } from "../term/leaseExpiry.js";
+import { leadershipLeaseUntilMs, type LeadershipChange } from "../term/leadershipLease.js";
 
 export interface ElectionOptions {
   node: string;
@@ -220,7 +219,7 @@
     if (view.record) {
       const { node, term } = view.record;
       const read = { leader: node, term, revision: view.revision, sentMs };
-      if (this.suspicion.confirmedBy(read, this.options.clock.nowMs())) {
+      if (this.suspicion.isConfirmedBy(read, this.options.clock.nowMs())) {
         this.endLease(view.record, `${node} refuses connections`);
         return;
       }
--- a/src/coordination/leadership/leaderSuspicion.ts
+++ b/src/coordination/leadership/leaderSuspicion.ts
@@ -43,7 +43,7 @@
    * Without this a controller that outlived the leader and all others waited for the leadership lease to end, which at
    * hundreds of workers took a third of the time that their leases leave.
    */
-  confirmedBy(read: LeadershipRead, nowMs: number): boolean {
+  isConfirmedBy(read: LeadershipRead, nowMs: number): boolean {
     const { suspicion } = this;
     if (!suspicion) return false;
     const stale = nowMs - suspicion.sinceMs > SUSPICION_MS;
--- a/src/coordination/machines/deliveryResults.ts
+++ b/src/coordination/machines/deliveryResults.ts
@@ -2,7 +2,7 @@
 import type { DeliveryResult, Heartbeat } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
 import type { CommandDeliveries } from "../commands/commandDeliveries.js";
-import { firstToken } from "../term/leaseExpiry.js";
+import { firstFencingToken } from "../term/fencingTokens.js";
 import type { Attempts } from "../term/attempts.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { TermLease } from "../term/termLease.js";
@@ -33,7 +33,7 @@
     if (!machine) return;
     deliveries.finished(machine.name);
     // A delivery of an earlier term of ours may come back late: its token tells.
-    if (result.fencingToken < firstToken(lease.term)) return;
+    if (result.fencingToken < firstFencingToken(lease.term)) return;
     const raiseToken = deliveries.takeWaiting(machine.name);
     if (result.heartbeat && lease.isLoaded) {
       if (!heartbeats.isOfLaterTerm(result.heartbeat))
@@ -47,7 +47,7 @@
     for (const machine of deliveries.timedOut(nowMs))
       this.receive({
         machine,
-        fencingToken: firstToken(lease.term),
+        fencingToken: firstFencingToken(lease.term),
         status: null,
         neverSent: false,
         heartbeat: null,
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -3,7 +3,7 @@
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
 import { PROBE_MS } from "../commands/commandDeliveries.js";
-import { firstToken } from "../term/leaseExpiry.js";
+import { firstFencingToken } from "../term/fencingTokens.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { CommandQueue } from "../term/attempts.js";
 import type { CycleRequests } from "../term/cycleRequests.js";
@@ -62,7 +62,7 @@
   /** True when the worker has seen a later term's fencing token; then this leader is deposed. */
   isOfLaterTerm(heartbeat: Heartbeat): boolean {
     const { term } = this.context.lease;
-    if (heartbeat.fencingToken < firstToken(term + 1)) return false;
+    if (heartbeat.fencingToken < firstFencingToken(term + 1)) return false;
     this.context.onDeposed(term);
     return true;
   }
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -1,6 +1,6 @@
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
-import { leaseOverEverywhereMs, leaseOverMs } from "../term/leaseExpiry.js";
+import { leaseExpiredEverywhereFromMs, leaseExpiredFromMs } from "../term/leaseProofs.js";
 import type { TermLease } from "../term/termLease.js";
 
 /** Proves that the lease of a silent machine's worker has expired (rule `ran_twice`); silence alone proves nothing. */
@@ -16,8 +16,8 @@
     const { earlierLeadersSilentFromMs } = this.lease;
     // Nobody of an earlier term can have renewed it after that.
     const lastAcknowledgedMs = Math.max(machine.lastAckMs, earlierLeadersSilentFromMs);
-    if (nowMs < leaseOverMs(lastAcknowledgedMs, this.leaseS)) return false;
+    if (nowMs < leaseExpiredFromMs(lastAcknowledgedMs, this.leaseS)) return false;
     const facts = this.servers.facts(machine.zone, earlierLeadersSilentFromMs);
-    return nowMs >= leaseOverEverywhereMs(lastAcknowledgedMs, facts, this.leaseS);
+    return nowMs >= leaseExpiredEverywhereFromMs(lastAcknowledgedMs, facts, this.leaseS);
   }
 }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -2,7 +2,8 @@
 import type { TaskStatus } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
-import { absenceProves, firstToken } from "../term/leaseExpiry.js";
+import { firstFencingToken } from "../term/fencingTokens.js";
+import { absenceProvesTaskGone } from "../term/leaseProofs.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { Attempts, CommandQueue } from "../term/attempts.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
@@ -69,7 +70,7 @@
   private reconcileAbsent(attempt: Attempt, machine: Machine): boolean {
     const { clock, lease, attempts, commands } = this.context;
     const heartbeat = { epoch: machine.epoch, fencingToken: machine.seenToken };
-    if (absenceProves(attempt, heartbeat, firstToken(lease.term))) {
+    if (absenceProvesTaskGone(attempt, heartbeat, firstFencingToken(lease.term))) {
       const neverSeen = attempt.phase === null && !attempt.stop;
       if (!attempt.inherited && neverSeen && attempt.sentEpoch === machine.epoch) {
         // Certainly not there and never was: the same start may be sent anew.
@@ -100,7 +101,7 @@
     attempt.inherited = false;
     if (attempt.sentToken < 0) {
       // Started by an earlier leader: guard against that one's copies, too.
-      attempt.sentToken = firstToken(this.context.lease.term) - 1;
+      attempt.sentToken = firstFencingToken(this.context.lease.term) - 1;
       attempt.sentEpoch = machine.epoch;
     }
     if (phase !== "fetching" && machine.images.isFetching(job.spec.image)) machine.imageReady(job.spec.image);
--- /dev/null
+++ b/src/coordination/term/clockDrift.ts
@@ -0,0 +1,7 @@
+/**
+ * How far apart the steady clocks of two machines may run. Every time span that one machine grants and another one counts
+ * is widened or shortened by it, so that whoever loses a right loses it first.
+ */
+
+/** Bound on the drift of one machine's steady clock, as a fraction of the time that has passed. */
+export const CLOCK_DRIFT = 0.0005;
--- a/src/coordination/term/leadershipLease.ts
+++ b/src/coordination/term/leadershipLease.ts
@@ -1,4 +1,8 @@
-/** What an election tells the other parts of a controller: who leads, and what the leader may do until when. */
+/** What an election publishes to the other parts of a controller: who leads, and what the leader may do until when. */
+import { CLOCK_DRIFT } from "./clockDrift.js";
+
+/** The leader stops this much before its lease can have expired, so that nothing it has begun outlasts the lease. */
+const LEADERSHIP_LEASE_MARGIN_MS = 20;
 
 /** A leader's rights, each with its end on this process's steady clock. */
 export interface LeadershipLease {
@@ -22,3 +26,11 @@
   /** That leader's term. */
   term: number;
 }
+
+/**
+ * Steady time until which a leader may rely on its leadership lease, counted from when its renewal was sent: the state
+ * store counts from later on, and its clock may be the faster one.
+ */
+export function leadershipLeaseUntilMs(renewalSentMs: number, ttlMs: number): number {
+  return renewalSentMs + ttlMs * (1 - 2 * CLOCK_DRIFT) - LEADERSHIP_LEASE_MARGIN_MS;
+}
--- a/test/takeover.test.ts
+++ b/test/failover.test.ts
@@ -74,11 +74,11 @@
       const suspicion = new LeaderSuspicion();
       suspicion.raise(LEADER.leader, LEADER.term, othersReachable, 1000);
       for (const [sentMs, read, over] of reads)
-        assert.equal(suspicion.confirmedBy({ ...read, sentMs: 1000 + sentMs }, 1004 + sentMs), over);
+        assert.equal(suspicion.isConfirmedBy({ ...read, sentMs: 1000 + sentMs }, 1004 + sentMs), over);
     });
 
   test("nobody is, without a refusal", () => {
-    assert.equal(new LeaderSuspicion().confirmedBy({ ...LEADER, revision: 1, sentMs: 3 }, 5), false);
+    assert.equal(new LeaderSuspicion().isConfirmedBy({ ...LEADER, revision: 1, sentMs: 3 }, 5), false);
   });
 });
 
--- a/test/leaseExpiry.test.ts
+++ b/test/leaseExpiry.test.ts
@@ -11,17 +11,15 @@
   type GrantTerms,
   HeartbeatServerRegistry,
 } from "../src/coordination/heartbeats/heartbeatServerRegistry.js";
+import { acknowledgementLimitMs, longestZoneLeaseMs } from "../src/coordination/term/acknowledgementLimit.js";
+import { CLOCK_DRIFT } from "../src/coordination/term/clockDrift.js";
+import { firstFencingToken, TOKENS_PER_TERM } from "../src/coordination/term/fencingTokens.js";
+import { leadershipLeaseUntilMs } from "../src/coordination/term/leadershipLease.js";
 import {
-  absenceProves,
-  firstToken,
-  leadershipLeaseUntilMs,
-  acknowledgementLimitMs,
-  DRIFT,
-  leaseOverMs,
-  longestZoneLeaseMs,
-  leaseOverEverywhereMs,
-  TOKENS_PER_TERM,
-} from "../src/coordination/term/leaseExpiry.js";
+  absenceProvesTaskGone,
+  leaseExpiredEverywhereFromMs,
+  leaseExpiredFromMs,
+} from "../src/coordination/term/leaseProofs.js";
 
 test("absence from a report proves a task gone only behind a higher token or session", () => {
   const mine = { sentToken: 100, sentEpoch: 2, inherited: false };
@@ -35,20 +33,21 @@
     ["an earlier leader's, before our token is seen", old, { epoch: 9, fencingToken: 49 }, false],
     ["an earlier leader's, once our token is seen", old, { epoch: 2, fencingToken: 50 }, true],
   ];
-  for (const [name, start, report, want] of cases) assert.equal(absenceProves(start, report, 50), want, name);
+  for (const [name, start, report, want] of cases)
+    assert.equal(absenceProvesTaskGone(start, report, 50), want, name);
 });
 
 test("tokens: a later term's are all higher, and exact", () => {
   for (const term of [1, 2, 1000, 2 ** 28]) {
-    assert.ok(firstToken(term) + TOKENS_PER_TERM - 1 < firstToken(term + 1));
-    assert.ok(Number.isSafeInteger(firstToken(term + 1)));
+    assert.ok(firstFencingToken(term) + TOKENS_PER_TERM - 1 < firstFencingToken(term + 1));
+    assert.ok(Number.isSafeInteger(firstFencingToken(term + 1)));
   }
 });
 
 test("times: our hold ends early, a worker's lease ends late", () => {
   assert.ok(leadershipLeaseUntilMs(1000, 3000) < 4000);
-  assert.ok(leaseOverMs(1000, 14) > 15_000 * 1.0005);
-  assert.equal(leaseOverMs(Infinity, 14), Infinity);
+  assert.ok(leaseExpiredFromMs(1000, 14) > 15_000 * 1.0005);
+  assert.equal(leaseExpiredFromMs(Infinity, 14), Infinity);
 });
 
 test("extensions: confirmed only by those who are refused too and know of no later term", () => {
@@ -100,36 +99,44 @@
 
 test("a lease is over only when nobody can have renewed it, whoever serves the worker", () => {
   const lease = 10;
-  const over = leaseOverMs(1000, lease);
-  const gone = { grantUntilMs: 900, coveredMs: 500, blindMs: -Infinity };
-  const alive = { grantUntilMs: 99_000, coveredMs: over, blindMs: -Infinity };
-  const cases: [string, Parameters<typeof leaseOverEverywhereMs>[1], number][] = [
+  const over = leaseExpiredFromMs(1000, lease);
+  const gone = {
+    grantUntilMs: 900,
+    acknowledgementsKnownUntilMs: 500,
+    acknowledgementsUnknownBeforeMs: -Infinity,
+  };
+  const alive = {
+    grantUntilMs: 99_000,
+    acknowledgementsKnownUntilMs: over,
+    acknowledgementsUnknownBeforeMs: -Infinity,
+  };
+  const cases: [string, Parameters<typeof leaseExpiredEverywhereFromMs>[1], number][] = [
     ["only the leader serves", [], over],
     ["a server whose grant ended before the last answer", [gone], over],
     ["a server that has told all up to then", [alive], over],
     [
       "a server that is silent since, with a grant",
-      [{ ...alive, coveredMs: over - 1 }],
-      leaseOverMs(99_000, lease),
+      [{ ...alive, acknowledgementsKnownUntilMs: over - 1 }],
+      leaseExpiredFromMs(99_000, lease),
     ],
     [
       "a server that died: its grant may have been used to the end",
       [{ ...gone, grantUntilMs: 2500 }],
-      leaseOverMs(2500, lease),
+      leaseExpiredFromMs(2500, lease),
     ],
     [
       "a server some of whose words were lost",
-      [{ ...alive, coveredMs: 50_000, blindMs: 4000 }],
-      leaseOverMs(4000, lease),
+      [{ ...alive, acknowledgementsKnownUntilMs: 50_000, acknowledgementsUnknownBeforeMs: 4000 }],
+      leaseExpiredFromMs(4000, lease),
     ],
     [
       "one that died moves the stretch past what another has told",
       [alive, { ...gone, grantUntilMs: 2500 }],
-      leaseOverMs(99_000, lease),
+      leaseExpiredFromMs(99_000, lease),
     ],
   ];
   for (const [name, servers, want] of cases)
-    assert.equal(leaseOverEverywhereMs(1000, servers, lease), want, name);
+    assert.equal(leaseExpiredEverywhereFromMs(1000, servers, lease), want, name);
 });
 
 /** What a controller asks for its first grant with. */
@@ -179,11 +186,22 @@
     "none after it",
   );
   s.received({ ...ask, sequence: 2, lastGrantIssuedAtMs: 10_000 }, 10_400);
-  assert.deepEqual(pick(facts(s)), { coveredMs: 10_000, blindMs: -Infinity });
+  assert.deepEqual(pick(facts(s)), {
+    acknowledgementsKnownUntilMs: 10_000,
+    acknowledgementsUnknownBeforeMs: -Infinity,
+  });
   s.received({ ...ask, sequence: 4, lastGrantIssuedAtMs: 10_300 }, 10_700);
-  assert.deepEqual(pick(facts(s)), { coveredMs: 10_300, blindMs: 10_700 }, "a lost frame");
+  assert.deepEqual(
+    pick(facts(s)),
+    { acknowledgementsKnownUntilMs: 10_300, acknowledgementsUnknownBeforeMs: 10_700 },
+    "a lost frame",
+  );
   s.received({ ...ask, incarnation: 6, sequence: 1 }, 10_900);
-  assert.deepEqual(pick(facts(s)), { coveredMs: 10_300, blindMs: 10_900 }, "a new process");
+  assert.deepEqual(
+    pick(facts(s)),
+    { acknowledgementsKnownUntilMs: 10_300, acknowledgementsUnknownBeforeMs: 10_900 },
+    "a new process",
+  );
 });
 
 test("a controller may keep its own zone for longer, and a lease there counts from that; an unheard one's from before", () => {
@@ -212,8 +230,8 @@
   ];
   for (const [zone, want] of cases) assert.deepEqual(until(zone), want.map(Math.round), `zone "${zone}"`);
   // Whatever it did under an earlier leader is over with its first frame of this term, and unknown up to then.
-  assert.equal([...s.facts("b", 7000)][0]!.blindMs, 10_000);
-  assert.equal([...s.facts("a", 7000)][0]!.blindMs, -Infinity);
+  assert.equal([...s.facts("b", 7000)][0]!.acknowledgementsUnknownBeforeMs, 10_000);
+  assert.equal([...s.facts("a", 7000)][0]!.acknowledgementsUnknownBeforeMs, -Infinity);
 });
 
 test("what was lost is asked for until it is told again, also of who stood still when it was asked", () => {
@@ -245,7 +263,9 @@
     const ms = acknowledgementLimitMs(70_000, cancelS, leaseS) - 70_000;
     assert.ok(ms >= want && ms <= want + 100, `${cancelS} s, ${leaseS} s: ${ms}`);
     // The worker's clock and ours may both be slow, and half a second is left for what is late.
-    assert.ok((ms * (1 + DRIFT)) / 1000 + leaseS * (1 + DRIFT) + 0.5 < cancelS * (1 - DRIFT));
+    assert.ok(
+      (ms * (1 + CLOCK_DRIFT)) / 1000 + leaseS * (1 + CLOCK_DRIFT) + 0.5 < cancelS * (1 - CLOCK_DRIFT),
+    );
     assert.equal(
       longestZoneLeaseMs(cancelS, leaseS),
       want < 3000 ? 0 : Math.floor(acknowledgementLimitMs(0, cancelS, leaseS)),
@@ -361,8 +381,11 @@
 });
 
 function pick(o: object): object {
-  const { coveredMs, blindMs } = o as { coveredMs: number; blindMs: number };
-  return { coveredMs, blindMs };
+  const { acknowledgementsKnownUntilMs, acknowledgementsUnknownBeforeMs } = o as {
+    acknowledgementsKnownUntilMs: number;
+    acknowledgementsUnknownBeforeMs: number;
+  };
+  return { acknowledgementsKnownUntilMs, acknowledgementsUnknownBeforeMs };
 }
 
 test("workers are spread: new ones early, known ones when others were away, anybody when we fall behind", () => {
