--- a/src/coordination/consolidation/consolidationRounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -8,9 +8,9 @@
 import type { TermLease } from "../term/termLease.js";
 import type { WriteRequests } from "../term/writeQueue.js";
 import { allowsPlacement, zoneRoom } from "../scheduling/fitting.js";
-import { release, type MeasuredMachine } from "./release.js";
-import { loadOf, ringOf } from "./rings.js";
-import { squeeze, type LoadedTask, type Move } from "./squeeze.js";
+import { planOffloads, type MeasuredMachine } from "./offloading.js";
+import { loadOf, loadLevelOf } from "./machineLoad.js";
+import { planMerges, type LoadedTask, type Move } from "./machineMerging.js";
 
 /** What the rounds use of the term. */
 export interface ConsolidationRoundsContext {
@@ -49,9 +49,12 @@
     const machines: MeasuredMachine[] = [];
     for (const machine of this.context.machines.values()) {
       if (machine.state !== "up" || !machine.type) continue;
-      const requested = loadOf(machine.used, machine.type);
+      const requestedLoad = loadOf(machine.used, machine.type);
       // Most machines are in the inner rings and use what they were asked to: neither squeeze nor release looks there.
-      if (ringOf(requested, degrad) !== "outer" && machine.reportedTasks.length <= machine.attempts.size)
+      if (
+        loadLevelOf(requestedLoad, degrad) !== "low" &&
+        machine.reportedTasks.length <= machine.attempts.size
+      )
         continue;
       // A late report would move tasks that have already left.
       const fresh = now - machine.lastContactMs < this.context.heartbeatS * 1500;
@@ -72,7 +75,7 @@
           attempt.runningMs === null
             ? attempt.phase === "fetching"
             : now - attempt.runningMs < elapseS * 1000;
-        const movable =
+        const isMovable =
           whole &&
           attempt.stop === null &&
           spec.kind !== "service" &&
@@ -84,22 +87,22 @@
           cpus: spec.cpus,
           gpus: spec.gpus,
           memoryGb: spec.memoryGb,
-          movable,
-          mayMoveTo: (name) => this.mayMove(attempt, name),
+          isMovable,
+          canMoveTo: (name) => this.mayMove(attempt, name),
         });
       }
       machines.push({
         name: machine.name,
-        total: machine.type,
+        capacity: machine.type,
         tasks,
-        open: whole && !machine.cordoned && machine.interruptionAtMs === null,
-        measured: loadOf(measuredUse, machine.type),
-        requested,
+        acceptsTasks: whole && !machine.cordoned && machine.interruptionAtMs === null,
+        measuredLoad: loadOf(measuredUse, machine.type),
+        requestedLoad,
       });
     }
-    const moves = squeeze(machines, { degrad, moveCap });
+    const moves = planMerges(machines, { degrad, moveCap });
     if (moves.length < moveCap) {
-      moves.push(...release(machines, { degrad, violate, moveCap: moveCap - moves.length }));
+      moves.push(...planOffloads(machines, { degrad, violate, moveCap: moveCap - moves.length }));
     }
     if (moves.length === 0) return;
     this.plannedMoves = moves;
--- a/src/coordination/consolidation/rings.ts
+++ b/src/coordination/consolidation/machineLoad.ts
@@ -2,7 +2,7 @@
  * The three rings of the paper's section 3.3: outer [0, degrad/2), secondary [degrad/2, degrad),
  * inner [degrad, 1].
  */
-export type Ring = "outer" | "secondary" | "inner";
+export type LoadLevel = "low" | "medium" | "high";
 
 export interface Capacity {
   cpus: number;
@@ -20,8 +20,8 @@
   );
 }
 
-export function ringOf(load: number, degrad: number): Ring {
+export function loadLevelOf(load: number, degrad: number): LoadLevel {
   // Rounding of sums must not move a machine that stands exactly on a bound.
-  if (load < degrad / 2 - 1e-9) return "outer";
-  return load < degrad - 1e-9 ? "secondary" : "inner";
+  if (load < degrad / 2 - 1e-9) return "low";
+  return load < degrad - 1e-9 ? "medium" : "high";
 }
--- a/src/coordination/consolidation/release.ts
+++ b/src/coordination/consolidation/offloading.ts
@@ -1,10 +1,10 @@
-import { loadOf, ringOf } from "./rings.js";
-import type { LoadedMachine, LoadedTask, Move } from "./squeeze.js";
+import { loadOf, loadLevelOf } from "./machineLoad.js";
+import type { LoadedMachine, LoadedTask, Move } from "./machineMerging.js";
 
 export interface MeasuredMachine extends LoadedMachine {
   /** Load by what the worker reports, which can be more than what was asked for. */
-  measured: number;
-  requested: number;
+  measuredLoad: number;
+  requestedLoad: number;
 }
 
 /**
@@ -12,7 +12,7 @@
  * violate loses its largest task that restarts cheaply, to a light machine of the outer ring. Never one member
  * of a gang alone: those are not offered as movable. Pure.
  */
-export function release(
+export function planOffloads(
   machines: MeasuredMachine[],
   limits: { degrad: number; violate: number; moveCap: number },
 ): Move[] {
@@ -20,17 +20,22 @@
   const taken = new Set<string>();
   for (const machine of machines) {
     if (moves.length >= limits.moveCap) break;
-    if (machine.measured <= machine.requested + 1e-9 || machine.measured <= limits.violate) continue;
-    const size = (t: LoadedTask): number => loadOf(t, machine.total);
-    const able = machine.tasks.filter((t) => t.movable).sort((a, b) => size(b) - size(a));
+    if (machine.measuredLoad <= machine.requestedLoad + 1e-9 || machine.measuredLoad <= limits.violate)
+      continue;
+    const size = (t: LoadedTask): number => loadOf(t, machine.capacity);
+    const able = machine.tasks.filter((t) => t.isMovable).sort((a, b) => size(b) - size(a));
     const light = machines
       .filter(
-        (o) => o !== machine && o.open && !taken.has(o.name) && ringOf(o.measured, limits.degrad) === "outer",
+        (o) =>
+          o !== machine &&
+          o.acceptsTasks &&
+          !taken.has(o.name) &&
+          loadLevelOf(o.measuredLoad, limits.degrad) === "low",
       )
-      .sort((a, b) => a.measured - b.measured);
+      .sort((a, b) => a.measuredLoad - b.measuredLoad);
     search: for (const task of able) {
       for (const to of light) {
-        if (!task.mayMoveTo(to.name) || to.measured + loadOf(task, to.total) > limits.degrad) continue;
+        if (!task.canMoveTo(to.name) || to.measuredLoad + loadOf(task, to.capacity) > limits.degrad) continue;
         moves.push({ ref: task.ref, from: machine.name, to: to.name });
         taken.add(to.name);
         break search;
--- a/src/coordination/provisioning/fleetUsageLog.ts
+++ b/src/coordination/provisioning/fleetUsageLog.ts
@@ -1,7 +1,7 @@
 import type { Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
-import { loadOf } from "../consolidation/rings.js";
+import { loadOf } from "../consolidation/machineLoad.js";
 
 interface Sum {
   machines: number;
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -142,7 +142,7 @@
       tasks <= 0 ||
       job.waitTargetLeftS === null ||
       this.preemptors >= this.input.maxPreemptors ||
-      !this.input.mayStop(job)
+      !this.input.canPreemptFor(job)
     )
       return;
     const shape = `quota ${spec.team} ${spec.priority}`;
@@ -261,7 +261,7 @@
         best = { zone, chosen, price: price + spare };
       const soon = have >= want ? 0 : this.comingRoom(job, want - have, zone);
       // Where the rest can't be had, it has to wait for others to end.
-      const rest = want - have - soon > 0 && zone !== null && this.input.refused(spec, zone);
+      const rest = want - have - soon > 0 && zone !== null && this.input.isRefused(spec, zone);
       const score = have + soon - (rest ? want : 0);
       if (!most || score > most.score) most = { zone, have, soon, score };
     }
@@ -414,7 +414,7 @@
     const { spec } = job;
     // The lowest priority stops nobody, unless its team has less than its guarantee.
     if ((spec.priority === 0 && !job.isGuaranteed) || this.preemptors >= this.input.maxPreemptors) return 0;
-    if (!this.input.mayStop(job)) return 0;
+    if (!this.input.canPreemptFor(job)) return 0;
     const shape = `${spec.team} ${spec.priority} ${job.isGuaranteed} ${spec.cpus} ${spec.gpus} ${spec.memoryGb} ${spec.zone} ${spec.spot} ${spec.types?.join()}`;
     if (this.noVictimsFor.has(shape)) return 0;
     this.preemptors++;
--- a/src/coordination/scheduling/placementPlan.ts
+++ b/src/coordination/scheduling/placementPlan.ts
@@ -43,10 +43,10 @@
   /** Jobs that room may be made for in one cycle. */
   maxPreemptors: number;
   /** False when nothing runs that could be stopped for it. */
-  mayStop: (job: JobView) => boolean;
+  canPreemptFor: (job: JobView) => boolean;
   /** The cloud has lately had nothing there for it. */
-  refused: (spec: JobSpec, zone: string) => boolean;
-  guaranteed: (jobId: string) => boolean;
+  isRefused: (spec: JobSpec, zone: string) => boolean;
+  isGuaranteed: (jobId: string) => boolean;
   /** How often a spot machine is taken in an hour, as seen so far. */
   interruptionsPerHour: number;
   nowMs: number;
--- a/src/coordination/scheduling/preemption.ts
+++ b/src/coordination/scheduling/preemption.ts
@@ -5,7 +5,7 @@
 
 /** What preemption depends on besides the job and the victim. */
 interface PreemptionInput {
-  guaranteed: (jobId: string) => boolean;
+  isGuaranteed: (jobId: string) => boolean;
   nowMs: number;
 }
 
@@ -20,7 +20,7 @@
   if (victim.jobId === job.spec.id) return false;
   const lesser = victim.priority < job.spec.priority;
   if (victim.team === job.spec.team) return lesser;
-  const borrowed = !input.guaranteed(victim.jobId);
+  const borrowed = !input.isGuaranteed(victim.jobId);
   // So that a team gets its guarantee, what another team borrows may be stopped. And what borrows stops nothing that
   // is guaranteed, whatever its priority: it would be stopped for it in turn, and so on for ever.
   return job.isGuaranteed ? borrowed || lesser : borrowed && lesser;
--- a/src/coordination/scheduling/queue.ts
+++ b/src/coordination/scheduling/queue.ts
@@ -6,7 +6,7 @@
  * Which jobs fall within their team's guarantee: a job does if it fits into it along with the team's earlier
  * unfinished jobs. Pure.
  */
-export function withinGuarantee(jobs: Iterable<Job>, teams: Map<string, Team>): Set<Job> {
+export function jobsWithinGuarantee(jobs: Iterable<Job>, teams: Map<string, Team>): Set<Job> {
   const byTeam = groupBy(
     [...jobs].filter((job) => !job.cancelled),
     (job) => job.spec.team,
@@ -31,38 +31,42 @@
   job: Job;
   id: string;
   priority: number;
-  guaranteed: boolean;
+  isGuaranteed: boolean;
   /** Works on accelerators: it shares room with its like only. */
-  gpus: boolean;
+  needsGpus: boolean;
   /** Nothing of it has begun for too long, however small what passed it was. */
-  aged: boolean;
+  isStarving: boolean;
   /** Nothing of it has begun for so long that it soon has to, whatever its priority. */
-  overdue: boolean;
+  isStartOverdue: boolean;
   /** Most of its class's loosest target is over, and it isn't done. */
-  late: boolean;
+  isLate: boolean;
   /**
    * Tasks that it may have running before its like have their part of the room; Infinity: it is not shared. Set by
    * `serveOrder`.
    */
-  fairShare: number;
+  fairShareTasks: number;
   /** Tasks that it may have running: what is late keeps to its part of the room. Set by `serveOrder`. */
-  allowed: number;
+  taskLimit: number;
   /** Seconds from now at which it should be complete, the nearest target first; later targets are looser. */
   targetsLeftS: number[];
   /** Seconds that a single task of it still takes. */
   taskS: number;
   /** Tasks without a result. */
-  tasks: number;
+  unfinishedTasks: number;
   /** Cpus, or accelerators, that all that is left of it would take at once. */
-  width: number;
+  demand: number;
   /** What is left to do, in cpu seconds. */
-  work: number;
+  remainingWork: number;
   /** When it was accepted, for what nothing else decides. */
-  since: number;
+  acceptedAtMs: number;
 }
 
 /** Seconds from submission at which a job should be complete, by its own deadline or its class's objectives. */
-export function targetsS(className: string, deadlineS: number | null, objectives: Objective[]): number[] {
+export function completionTargetsS(
+  className: string,
+  deadlineS: number | null,
+  objectives: Objective[],
+): number[] {
   const targets = new Set<number>();
   if (deadlineS !== null) targets.add(deadlineS);
   for (const objective of objectives) {
@@ -75,7 +79,7 @@
 
 /** Jobs that begin out of turn in one cycle, each with so many tasks. */
 const MAX_EARLY_JOBS = 8;
-export const EARLY_TASKS = 2;
+export const EARLY_START_TASKS = 2;
 /** An array that would take all the room for longer than this shares it with its like. */
 const SHARED_FROM_S = 60;
 /** Of a priority's room, what is late may take so much before those who can still be in time. */
@@ -100,18 +104,18 @@
   // On a full cluster a lower priority would never begin. A task or two cost those above it next to nothing.
   const begins = new Set(
     entries
-      .filter((e) => e.overdue && e.priority < ranks[0]!)
+      .filter((e) => e.isStartOverdue && e.priority < ranks[0]!)
       .sort(bySince)
       .slice(0, MAX_EARLY_JOBS),
   );
-  for (const e of begins) e.allowed = EARLY_TASKS;
+  for (const e of begins) e.taskLimit = EARLY_START_TASKS;
   out.push(...begins);
   for (const rank of ranks) {
     const ranked = entries.filter((e) => e.priority === rank && !begins.has(e));
     // Stepping back has an end: who has waited too long comes first, the longest wait before the others.
-    out.push(...ranked.filter((e) => e.aged).sort(bySince));
+    out.push(...ranked.filter((e) => e.isStarving).sort(bySince));
     for (const gpus of [true, false]) {
-      const like = ranked.filter((e) => !e.aged && e.gpus === gpus);
+      const like = ranked.filter((e) => !e.isStarving && e.needsGpus === gpus);
       if (like.length === 0) continue;
       const room = Math.max(1, roomOf(rank, gpus));
       const first = lateFirst(like, room * LATE_SHARE);
@@ -121,7 +125,7 @@
       }
       // Counted on twice, that part of the room would make everybody else a little late.
       let left = room;
-      for (const e of first) left -= e.width;
+      for (const e of first) left -= e.demand;
       const rest = like.filter((e) => !first.includes(e));
       out.push(...first, ...inRank(rest, Math.max(left, room * (1 - LATE_SHARE) * 0.8), teamLimit));
     }
@@ -136,18 +140,19 @@
 function lateFirst(entries: QueueEntry[], room: number): QueueEntry[] {
   const out: QueueEntry[] = [];
   let left = room;
-  for (const entry of entries.filter((e) => e.late).sort(bySince)) {
+  for (const entry of entries.filter((e) => e.isLate).sort(bySince)) {
     if (left <= 0) break;
     // Uncapped, one large late job took most of a small deployment from all who could still be in time.
-    if (entry.width > left) entry.allowed = Math.max(1, Math.floor((left / entry.width) * entry.tasks));
-    left -= entry.width;
+    if (entry.demand > left)
+      entry.taskLimit = Math.max(1, Math.floor((left / entry.demand) * entry.unfinishedTasks));
+    left -= entry.demand;
     out.push(entry);
   }
   return out;
 }
 
 function bySince(a: QueueEntry, b: QueueEntry): number {
-  return a.since - b.since || (a.id < b.id ? -1 : 1);
+  return a.acceptedAtMs - b.acceptedAtMs || (a.id < b.id ? -1 : 1);
 }
 
 /** `room` is shared by the guaranteed, who come first, and the others. */
@@ -159,7 +164,7 @@
   const out: QueueEntry[] = [];
   let busyS = 0;
   for (const guaranteed of [true, false]) {
-    let left = entries.filter((e) => e.guaranteed === guaranteed);
+    let left = entries.filter((e) => e.isGuaranteed === guaranteed);
     const levels = Math.max(0, ...left.map((e) => e.targetsLeftS.length));
     for (let level = 0; level < levels; level++) {
       const { kept, dropped, endS } = inTime(left, level, room, busyS);
@@ -168,7 +173,7 @@
       busyS = endS;
     }
     left.sort(bySize);
-    shareRoom(left, room - out.reduce((sum, e) => sum + e.width, 0), teamLimit);
+    shareRoom(left, room - out.reduce((sum, e) => sum + e.demand, 0), teamLimit);
     out.push(...left);
   }
   return out;
@@ -187,12 +192,12 @@
   const arrays = entries.filter((e) => e.job.spec.kind === "array" && e.targetsLeftS.length === 0);
   const byTeam = groupBy(arrays, (e) => e.job.spec.team);
   for (const [team, list] of byTeam) {
-    const part = Math.min(Math.max(0, room) / byTeam.size, teamLimit(team, list[0]!.gpus));
+    const part = Math.min(Math.max(0, room) / byTeam.size, teamLimit(team, list[0]!.needsGpus));
     const large = list.filter((entry) => wholeWork(entry) > part * SHARED_FROM_S);
     if (large.length < 2) continue;
     for (const entry of large) {
-      const tasks = Math.floor((part / large.length / entry.width) * entry.tasks);
-      entry.fairShare = Math.max(EARLY_TASKS, tasks);
+      const tasks = Math.floor((part / large.length / entry.demand) * entry.unfinishedTasks);
+      entry.fairShareTasks = Math.max(EARLY_START_TASKS, tasks);
     }
   }
 }
@@ -206,7 +211,7 @@
 function bySize(a: QueueEntry, b: QueueEntry): number {
   // Without targets there is nothing to be in time for: first come, first served.
   if (a.targetsLeftS.length === 0 && b.targetsLeftS.length === 0) return bySince(a, b);
-  return a.work - b.work || bySince(a, b);
+  return a.remainingWork - b.remainingWork || bySince(a, b);
 }
 
 function inTime(
@@ -226,13 +231,14 @@
       continue;
     }
     kept.push(entry);
-    endS += entry.work / room;
+    endS += entry.remainingWork / room;
     if (Math.max(endS, entry.taskS) <= due(entry)) continue;
     let largest = 0;
-    for (let i = 1; i < kept.length; i++) if (kept[i]!.work > kept[largest]!.work) largest = i;
+    for (let i = 1; i < kept.length; i++)
+      if (kept[i]!.remainingWork > kept[largest]!.remainingWork) largest = i;
     const [out] = kept.splice(largest, 1);
     dropped.push(out!);
-    endS -= out!.work / room;
+    endS -= out!.remainingWork / room;
   }
   return { kept, dropped, endS };
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -6,7 +6,13 @@
 import { place } from "./placement.js";
 import type { PlacementPlan } from "./placementPlan.js";
 import { quotaView } from "./quotaView.js";
-import { EARLY_TASKS, serveOrder, targetsS, withinGuarantee, type QueueEntry } from "./queue.js";
+import {
+  EARLY_START_TASKS,
+  serveOrder,
+  completionTargetsS,
+  jobsWithinGuarantee,
+  type QueueEntry,
+} from "./queue.js";
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Objective } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
@@ -159,9 +165,9 @@
       quota: quotaView(usage, jobs.byId),
       maxEvictions: 40,
       maxPreemptors: 8,
-      mayStop: (j) => lowest < j.spec.priority || (j.isGuaranteed && borrowing),
-      refused: (spec, zone) => provisioner.isEverythingRefused(spec, zone, now),
-      guaranteed: (id) => {
+      canPreemptFor: (j) => lowest < j.spec.priority || (j.isGuaranteed && borrowing),
+      isRefused: (spec, zone) => provisioner.isEverythingRefused(spec, zone, now),
+      isGuaranteed: (id) => {
         const job = jobs.get(id);
         return job !== undefined && guaranteed.has(job);
       },
@@ -178,12 +184,12 @@
     const { jobs, usage } = this.context;
     if (this.guaranteedOf !== jobs.revision) {
       this.guaranteedOf = jobs.revision;
-      this.guaranteedJobs = withinGuarantee(jobs.values(), usage.teams);
+      this.guaranteedJobs = jobsWithinGuarantee(jobs.values(), usage.teams);
     }
     return this.guaranteedJobs;
   }
 
-  private entry(job: Job, guaranteed: boolean, now: number): QueueEntry {
+  private entry(job: Job, isGuaranteed: boolean, now: number): QueueEntry {
     const { spec } = job;
     const taskS = Math.max(1, this.context.estimates.runTimes.expectedS(spec.className, spec.estimateS));
     const agoS = (now - job.submittedMs) / 1000;
@@ -192,24 +198,25 @@
       runningS += Math.max(1, taskS - (attempt.runningMs === null ? 0 : (now - attempt.runningMs) / 1000));
     }
     const waitedS = (now - job.submittedMs) / 1000;
-    const aged = job.attempts.size === 0 && job.doneCount === 0 && waitedS > (spec.kind === "gang" ? 45 : 90);
+    const isStarving =
+      job.attempts.size === 0 && job.doneCount === 0 && waitedS > (spec.kind === "gang" ? 45 : 90);
     return {
       job,
       id: job.id,
       priority: spec.priority,
-      guaranteed,
+      isGuaranteed,
       targetsLeftS: this.targets(job).map((s) => s - agoS),
       taskS,
-      gpus: spec.gpus > 0,
-      aged,
-      overdue: aged && spec.kind === "array" && waitedS > OVERDUE_S,
-      late: waitedS > LATE_FRACTION * this.longestTargetS(spec.className),
-      fairShare: Infinity,
-      allowed: Infinity,
-      tasks: job.pending + job.attempts.size,
-      width: (spec.gpus || spec.cpus) * (job.pending + job.attempts.size),
-      work: (spec.gpus || spec.cpus) * (job.pending * taskS + runningS),
-      since: job.acceptedAt.getTime(),
+      needsGpus: spec.gpus > 0,
+      isStarving,
+      isStartOverdue: isStarving && spec.kind === "array" && waitedS > OVERDUE_S,
+      isLate: waitedS > LATE_FRACTION * this.longestTargetS(spec.className),
+      fairShareTasks: Infinity,
+      taskLimit: Infinity,
+      unfinishedTasks: job.pending + job.attempts.size,
+      demand: (spec.gpus || spec.cpus) * (job.pending + job.attempts.size),
+      remainingWork: (spec.gpus || spec.cpus) * (job.pending * taskS + runningS),
+      acceptedAtMs: job.acceptedAt.getTime(),
     };
   }
 
@@ -237,7 +244,7 @@
   private targets(job: Job): number[] {
     let targets = this.targetCache.get(job);
     if (!targets) {
-      targets = targetsS(job.spec.className, job.spec.deadlineS, this.context.objectives);
+      targets = completionTargetsS(job.spec.className, job.spec.deadlineS, this.context.objectives);
       this.targetCache.set(job, targets);
     }
     return targets;
@@ -281,10 +288,10 @@
       spec: entry.job.spec,
       pending: entry.job.pending,
       taskLimit: this.limit(entry),
-      fairShareTasks: Math.max(0, entry.fairShare - entry.job.attempts.size),
+      fairShareTasks: Math.max(0, entry.fairShareTasks - entry.job.attempts.size),
       taskS: entry.job.spec.kind === "service" ? Infinity : entry.taskS,
-      hasWaitedLong: entry.aged,
-      isGuaranteed: entry.guaranteed,
+      hasWaitedLong: entry.isStarving,
+      isGuaranteed: entry.isGuaranteed,
       zones,
       avoid,
       waitTargetLeftS: this.quickS(entry.job, now),
@@ -298,9 +305,9 @@
     // It may yet be right somewhere; until it is, the room is for others.
     if (spec.kind !== "gang" && jobLooksFaulty(entry.job))
       return Math.max(0, MISTAKEN_AT_ONCE - attempts.size);
-    if (entry.aged && spec.kind === "array")
-      return Math.min(entry.allowed, Math.max(4, Math.ceil(spec.tasks / 8)));
-    return spec.kind === "array" ? Math.max(0, entry.allowed - attempts.size) : Infinity;
+    if (entry.isStarving && spec.kind === "array")
+      return Math.min(entry.taskLimit, Math.max(4, Math.ceil(spec.tasks / 8)));
+    return spec.kind === "array" ? Math.max(0, entry.taskLimit - attempts.size) : Infinity;
   }
 
   private quickS(job: Job, now: number): number | null {
@@ -476,7 +483,11 @@
  * priority would never have begun in its users' eyes. Pure.
  */
 export function hasJustBegun(job: Job, nowMs: number): boolean {
-  if (job.doneCount > 0 || job.attempts.size > EARLY_TASKS || nowMs - job.submittedMs < OVERDUE_S * 1000)
+  if (
+    job.doneCount > 0 ||
+    job.attempts.size > EARLY_START_TASKS ||
+    nowMs - job.submittedMs < OVERDUE_S * 1000
+  )
     return false;
   for (const a of job.attempts) if (a.runningMs !== null && nowMs - a.runningMs > BEGIN_KEEP_MS) return false;
   return job.spec.kind === "array";
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -1,20 +1,24 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { loadOf, ringOf } from "../src/coordination/consolidation/rings.js";
-import { release, type MeasuredMachine } from "../src/coordination/consolidation/release.js";
-import { squeeze, type LoadedMachine, type LoadedTask } from "../src/coordination/consolidation/squeeze.js";
+import { loadOf, loadLevelOf } from "../src/coordination/consolidation/machineLoad.js";
+import { planOffloads, type MeasuredMachine } from "../src/coordination/consolidation/offloading.js";
+import {
+  planMerges,
+  type LoadedMachine,
+  type LoadedTask,
+} from "../src/coordination/consolidation/machineMerging.js";
 
 test("rings: [0, degrad/2) outer, [degrad/2, degrad) secondary, the rest inner", () => {
   for (const [load, ring] of [
-    [0, "outer"],
-    [0.39, "outer"],
-    [0.4, "secondary"],
-    [0.1 + 0.2 + 0.1, "secondary"],
-    [0.79, "secondary"],
-    [0.8, "inner"],
-    [1, "inner"],
+    [0, "low"],
+    [0.39, "low"],
+    [0.4, "medium"],
+    [0.1 + 0.2 + 0.1, "medium"],
+    [0.79, "medium"],
+    [0.8, "high"],
+    [1, "high"],
   ] as const) {
-    assert.equal(ringOf(load, 0.8), ring, `load ${load}`);
+    assert.equal(loadLevelOf(load, 0.8), ring, `load ${load}`);
   }
 });
 
@@ -24,7 +28,7 @@
   assert.equal(loadOf({ cpus: 9, gpus: 0, memoryGb: 50 }, total), 0.9);
 });
 
-const total = { cpus: 100, gpus: 0, memoryGb: 100 };
+const capacity = { cpus: 100, gpus: 0, memoryGb: 100 };
 let refs = 0;
 function task(percent: number, extra: Partial<LoadedTask> = {}): LoadedTask {
   return {
@@ -33,13 +37,13 @@
     cpus: percent,
     gpus: 0,
     memoryGb: 0,
-    movable: true,
-    mayMoveTo: () => true,
+    isMovable: true,
+    canMoveTo: () => true,
     ...extra,
   };
 }
-function machine(name: string, tasks: LoadedTask[], open = true): LoadedMachine {
-  return { name, total, tasks, open };
+function machine(name: string, tasks: LoadedTask[], acceptsTasks = true): LoadedMachine {
+  return { name, capacity, tasks, acceptsTasks };
 }
 const routes = (moves: { from: string; to: string }[]): string[] => moves.map((m) => `${m.from}>${m.to}`);
 
@@ -65,14 +69,14 @@
     {
       name: "empties a machine whole or not at all",
       machines: [
-        machine("a", [task(2), task(3, { movable: false })]),
-        machine("b", [task(6, { movable: false })]),
+        machine("a", [task(2), task(3, { isMovable: false })]),
+        machine("b", [task(6, { isMovable: false })]),
       ],
       want: [],
     },
     {
       name: "turns the merge round when only the heavier can move",
-      machines: [machine("a", [task(2, { movable: false })]), machine("b", [task(6)])],
+      machines: [machine("a", [task(2, { isMovable: false })]), machine("b", [task(6)])],
       want: ["b>a"],
     },
     {
@@ -84,21 +88,21 @@
     {
       name: "goes only where the job may run",
       machines: [
-        machine("a", [task(1, { mayMoveTo: () => false })]),
-        machine("b", [task(2, { mayMoveTo: (m) => m === "c" })]),
-        machine("c", [task(3, { movable: false })]),
+        machine("a", [task(1, { canMoveTo: () => false })]),
+        machine("b", [task(2, { canMoveTo: (m) => m === "c" })]),
+        machine("c", [task(3, { isMovable: false })]),
       ],
       want: ["b>c"],
     },
     {
       name: "not onto a closed machine",
-      machines: [machine("a", [task(1)]), machine("b", [task(2, { movable: false })], false)],
+      machines: [machine("a", [task(1)]), machine("b", [task(2, { isMovable: false })], false)],
       want: [],
     },
   ];
   for (const c of cases) {
     assert.deepEqual(
-      routes(squeeze(c.machines, { degrad: c.name.includes("again") ? 0.66 : 0.8, moveCap: c.cap ?? 4 })),
+      routes(planMerges(c.machines, { degrad: c.name.includes("again") ? 0.66 : 0.8, moveCap: c.cap ?? 4 })),
       c.want,
       c.name,
     );
@@ -108,8 +112,8 @@
 test("release: tables", () => {
   const measured = (m: LoadedMachine, use: number, asked: number): MeasuredMachine => ({
     ...m,
-    measured: use,
-    requested: asked,
+    measuredLoad: use,
+    requestedLoad: asked,
   });
   const light = measured(machine("light", [task(5)]), 0.05, 0.05);
   const lighter = measured(machine("lighter", []), 0, 0);
@@ -123,7 +127,7 @@
     { name: "not below violate", hot: measured(machine("hot", [task(30)]), 0.85, 0.3), want: [] },
     {
       name: "never a gang's member or anything dear",
-      hot: measured(machine("hot", [task(30, { movable: false })]), 0.95, 0.3),
+      hot: measured(machine("hot", [task(30, { isMovable: false })]), 0.95, 0.3),
       want: [],
     },
     {
@@ -139,7 +143,7 @@
     },
   ];
   for (const c of cases) {
-    const moves = release([c.hot, ...(c.others ?? [light, lighter])], {
+    const moves = planOffloads([c.hot, ...(c.others ?? [light, lighter])], {
       degrad: 0.8,
       violate: 0.89,
       moveCap: 4,
@@ -149,7 +153,7 @@
   const big = task(30);
   const hot = measured(machine("hot", [task(20), big]), 0.95, 0.5);
   assert.equal(
-    release([hot, lighter], { degrad: 0.8, violate: 0.89, moveCap: 4 })[0]?.ref,
+    planOffloads([hot, lighter], { degrad: 0.8, violate: 0.89, moveCap: 4 })[0]?.ref,
     big.ref,
     "the largest first",
   );
--- a/test/fair.test.ts
+++ b/test/fair.test.ts
@@ -250,9 +250,9 @@
     },
     maxEvictions: 40,
     maxPreemptors: 8,
-    mayStop: () => false,
-    refused: () => false,
-    guaranteed: () => true,
+    canPreemptFor: () => false,
+    isRefused: () => false,
+    isGuaranteed: () => true,
     interruptionsPerHour: 1,
     nowMs: 0,
   };
@@ -294,7 +294,7 @@
 test("room is sought by stopping others once for a shape that nobody's going helps, not once for each job", () => {
   const jobs = Array.from({ length: 200 }, (_, i) => ({ ...job(i), isGuaranteed: true }));
   const full = machines(1000, () => true);
-  const plan = place({ ...input(jobs, full), mayStop: () => true });
+  const plan = place({ ...input(jobs, full), canPreemptFor: () => true });
   assert.deepEqual([plan.placements.length, plan.evictions.length], [0, 0]);
   assert.ok(
     plan.machinesExamined <= 2 * 1000,
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -1,28 +1,33 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { serveOrder, targetsS, type QueueEntry } from "../src/coordination/scheduling/queue.js";
+import { serveOrder, completionTargetsS, type QueueEntry } from "../src/coordination/scheduling/queue.js";
 import { cycleGapMs } from "../src/coordination/scheduling/scheduler.js";
 import type { Job } from "../src/bookkeeping/workload.js";
 
 let since = 0;
-function entry(id: string, work: number, duesS: number[], extra: Partial<QueueEntry> = {}): QueueEntry {
+function entry(
+  id: string,
+  remainingWork: number,
+  duesS: number[],
+  extra: Partial<QueueEntry> = {},
+): QueueEntry {
   return {
     job: { spec: { team: "t", kind: "array" } } as Job,
     id,
     priority: 1,
-    guaranteed: false,
-    gpus: false,
-    aged: false,
-    overdue: false,
-    late: false,
-    fairShare: Infinity,
-    allowed: Infinity,
-    tasks: 10,
-    width: work,
+    isGuaranteed: false,
+    needsGpus: false,
+    isStarving: false,
+    isStartOverdue: false,
+    isLate: false,
+    fairShareTasks: Infinity,
+    taskLimit: Infinity,
+    unfinishedTasks: 10,
+    demand: remainingWork,
     targetsLeftS: duesS,
     taskS: 1,
-    work,
-    since: since++,
+    remainingWork,
+    acceptedAtMs: since++,
     ...extra,
   };
 }
@@ -34,7 +39,7 @@
       entries: [
         entry("low", 1, [], { priority: 0 }),
         entry("mid", 1, []),
-        entry("sure", 1, [], { guaranteed: true }),
+        entry("sure", 1, [], { isGuaranteed: true }),
         entry("top", 1, [], { priority: 3 }),
       ],
       want: "top sure mid low",
@@ -43,10 +48,10 @@
       name: "what is late goes first, the oldest first, in its part of the room, and no further",
       entries: [
         entry("new", 10, [90]),
-        entry("old", 30, [], { late: true, width: 2 }),
-        entry("older", 20, [], { late: true, width: 2, since: -1 }),
-        entry("huge", 900, [], { late: true }),
-        entry("last", 20, [95], { late: true }),
+        entry("old", 30, [], { isLate: true, demand: 2 }),
+        entry("older", 20, [], { isLate: true, demand: 2, acceptedAtMs: -1 }),
+        entry("huge", 900, [], { isLate: true }),
+        entry("last", 20, [95], { isLate: true }),
       ],
       want: "older old new last huge",
     },
@@ -54,15 +59,15 @@
       name: "what has not begun for too long begins with a little, whatever its priority, the longest wait first",
       entries: [
         entry("top", 1, [], { priority: 3 }),
-        entry("begin", 900, [], { priority: 0, aged: true, overdue: true }),
-        entry("before", 900, [], { priority: 1, aged: true, overdue: true, since: -1 }),
+        entry("begin", 900, [], { priority: 0, isStarving: true, isStartOverdue: true }),
+        entry("before", 900, [], { priority: 1, isStarving: true, isStartOverdue: true, acceptedAtMs: -1 }),
         entry("waits", 1, [], { priority: 0 }),
       ],
       want: "before begin top waits",
     },
     {
       name: "of the highest priority there is, in its turn",
-      entries: [entry("due", 1, [50]), entry("over", 900, [], { overdue: true })],
+      entries: [entry("due", 1, [50]), entry("over", 900, [], { isStartOverdue: true })],
       want: "due over",
     },
     { name: "without targets, as they came", entries: [entry("a", 90, []), entry("b", 10, [])], want: "a b" },
@@ -101,10 +106,10 @@
     );
     assert.equal(got.map((e) => e.id).join(" "), c.want, c.name);
     for (const e of got)
-      if (e.id.startsWith("be")) assert.equal(e.allowed, 2, "no more than two tasks out of turn");
+      if (e.id.startsWith("be")) assert.equal(e.taskLimit, 2, "no more than two tasks out of turn");
     // Of 3.5 in a room of 10, the older takes 2, and the old one's 10 tasks of 2 in all keep to the rest.
     const old = got.find((e) => e.id === "old");
-    if (old) assert.equal(old.allowed, 7, "the last of the late ones keeps to what is left of the part");
+    if (old) assert.equal(old.taskLimit, 7, "the last of the late ones keeps to what is left of the part");
   }
 });
 
@@ -123,10 +128,10 @@
     o("wait", "b", 5),
     o("finished", "b", 300),
   ];
-  assert.deepEqual(targetsS("a", 40, objectives), [40, 60]);
-  assert.deepEqual(targetsS("a", null, objectives), []);
-  assert.deepEqual(targetsS("b", null, objectives), [200, 300]);
-  assert.deepEqual(targetsS("c", 10, objectives), [10]);
+  assert.deepEqual(completionTargetsS("a", 40, objectives), [40, 60]);
+  assert.deepEqual(completionTargetsS("a", null, objectives), []);
+  assert.deepEqual(completionTargetsS("b", null, objectives), [200, 300]);
+  assert.deepEqual(completionTargetsS("c", 10, objectives), [10]);
 });
 
 /** Guards the workers' leases: acknowledgements and grants have their turn between two scheduling cycles. */
