--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -110,7 +110,7 @@
     this.leader = new Leader({
       platform,
       operator,
-      state: this.state,
+      stateStore: this.state,
       clock,
       cloud: this.cloud,
       deliver: (term, via, delivery) => this.commandRouter.deliver(term, via, delivery),
@@ -151,7 +151,7 @@
       node: platform.node,
       incarnation: out.incarnation,
       peers: others,
-      state: this.state,
+      stateStore: this.state,
       clock,
       send,
       random: out.random,
--- a/src/coordination/leader/leaderOptions.ts
+++ b/src/coordination/leader/leaderOptions.ts
@@ -11,7 +11,7 @@
 export interface LeaderOptions {
   platform: Platform;
   operator: Operator;
-  state: StateStoreClient;
+  stateStore: StateStoreClient;
   clock: Clock;
   cloud: CloudClient;
   /** Has commands carried, by the controller that serves the machine or from here. */
--- a/src/coordination/leader/termParts.ts
+++ b/src/coordination/leader/termParts.ts
@@ -56,7 +56,7 @@
   return {
     clock,
     estimates,
-    stateStore: options.state,
+    stateStore: options.stateStore,
     tell: mailbox.tell,
     onDeposed: options.onDeposed,
     operator: options.operator,
--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -13,7 +13,7 @@
   /** Different in each process, so that a process does not take its forerunner's leadership for its own. */
   incarnation: string;
   peers: string[];
-  state: StateStoreClient;
+  stateStore: StateStoreClient;
   clock: Clock;
   send: (peer: string, message: PeerMessage) => void;
   /** Between 0 and 1. */
@@ -187,7 +187,7 @@
     const sentMs = this.options.clock.nowMs();
     if (this.ownTerm) {
       const { term, lease } = this.ownTerm;
-      void this.options.state
+      void this.options.stateStore
         .renewLease(lease, sentMs + RENEW_MS)
         .then((outcome) => this.tell({ kind: "renewed", term, outcome, sentMs }));
     } else {
@@ -197,7 +197,7 @@
 
   /** Null when the state service did not answer in time. */
   private async fetchLeadership(deadlineMs: number): Promise<LeadershipView | null> {
-    const list = await this.options.state.list(keys.leadership, deadlineMs);
+    const list = await this.options.stateStore.list(keys.leadership, deadlineMs);
     return list.kind === "ok" ? readLeadership(list.items, list.revision) : null;
   }
 
@@ -260,11 +260,11 @@
    * between controllers were refused lost its lease to the others, and 50 workers theirs with it.
    */
   private writeLivenessRecord(): void {
-    const { clock, state } = this.options;
+    const { clock, stateStore } = this.options;
     const now = clock.nowMs();
     if (this.stopped || !this.ownTerm || now >= this.livenessWritesUntilMs) return;
     const { term, termVersion, lease } = this.ownTerm;
-    void state.compareAndSwap(
+    void stateStore.compareAndSwap(
       [{ key: keys.term, version: termVersion }],
       [this.leadershipRecordChange(term, lease)],
       now + LIVENESS_WRITE_MS,
@@ -275,7 +275,7 @@
   private endLease(record: LeadershipRecord, reason: string): void {
     this.requestInFlight = true;
     log.info(`ending the lease of term ${record.term}: ${reason}`);
-    void this.options.state.endLease(record.lease, this.options.clock.nowMs() + 1000).then(() => {
+    void this.options.stateStore.endLease(record.lease, this.options.clock.nowMs() + 1000).then(() => {
       this.requestInFlight = false;
       this.tell({ kind: "probe" });
     });
@@ -288,13 +288,13 @@
     const term = view.term + 1;
     const run = async (): Promise<void> => {
       const start = this.options.clock.nowMs();
-      const lease = await this.options.state.openLease(this.options.leaseMs, start + 1500);
+      const lease = await this.options.stateStore.openLease(this.options.leaseMs, start + 1500);
       if (lease === null) {
         this.tell({ kind: "campaigned", won: null });
         return;
       }
       const sentMs = start;
-      const outcome = await this.options.state.compareAndSwap(
+      const outcome = await this.options.stateStore.compareAndSwap(
         [
           { key: keys.leader, version: 0 },
           { key: keys.term, version: view.termVersion },
@@ -318,7 +318,7 @@
         }
       }
       if (revision < 0) {
-        void this.options.state.endLease(lease, this.options.clock.nowMs() + 1000);
+        void this.options.stateStore.endLease(lease, this.options.clock.nowMs() + 1000);
         this.tell({ kind: "campaigned", won: null });
       } else {
         this.tell({ kind: "campaigned", won: { lease, sentMs, revision, term } });
@@ -398,7 +398,7 @@
     this.leader = null;
     this.extendedUntilMs = -Infinity;
     this.options.onLeadershipChange({ lease: null, leader: null, term: 0 });
-    void this.options.state.endLease(lease, this.options.clock.nowMs() + 1000);
+    void this.options.stateStore.endLease(lease, this.options.clock.nowMs() + 1000);
     this.probeAfter(100 + this.options.random() * 200);
   }
 
@@ -504,8 +504,8 @@
             mayConfirmExtension({
               nowMs: now,
               everServed: this.hasRead,
-              lastServedSentMs: this.options.state.lastServedSentMs,
-              lastRefusedMs: this.options.state.lastRefusedMs,
+              lastServedSentMs: this.options.stateStore.lastServedSentMs,
+              lastRefusedMs: this.options.stateStore.lastRefusedMs,
               knownTerm: this.knownTerm,
               askedTerm: message.term,
             }),
