--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -1,5 +1,11 @@
 import type { JobSpec } from "../protocol/model.js";
-import { asAmount, asCount, asList, asObject, asText } from "../protocol/checks.js";
+import {
+  asNonNegativeNumber,
+  asNonNegativeInteger,
+  asArray,
+  asObject,
+  asNonEmptyString,
+} from "../protocol/json.js";
 
 /**
  * The key layout. Live and final jobs are kept apart, so that a new leader reads only what lives:
@@ -43,11 +49,12 @@
 
 export function decodeHead(value: unknown): JobHead | null {
   const o = asObject(value);
-  const at = asAmount(o?.at);
-  if (!o || at === null || asText(o.id) === null || asCount(o.tasks) === null) return null;
+  const at = asNonNegativeNumber(o?.at);
+  if (!o || at === null || asNonEmptyString(o.id) === null || asNonNegativeInteger(o.tasks) === null)
+    return null;
   const { at: _, x, xAt, ...spec } = o;
   // Versions before 0.4.0 kept no time: it was at the earliest when the job was accepted.
-  const cancelledAt = x === true ? new Date(asAmount(xAt) ?? at) : null;
+  const cancelledAt = x === true ? new Date(asNonNegativeNumber(xAt) ?? at) : null;
   return { spec: spec as unknown as JobSpec, acceptedAt: new Date(at), cancelledAt };
 }
 
@@ -62,7 +69,7 @@
 
 export function decodeFinal(value: unknown): FinalRecord | null {
   const o = asObject(value);
-  const tasks = asCount(o?.n);
+  const tasks = asNonNegativeInteger(o?.n);
   return o && tasks !== null ? { cancelled: o.x === true, tasks } : null;
 }
 
@@ -90,8 +97,8 @@
 
 export function decodeChunk(value: unknown): ChunkRecord | null {
   const o = asObject(value);
-  const machines = asList(o?.m);
-  const list = asList(o?.a);
+  const machines = asArray(o?.m);
+  const list = asArray(o?.a);
   if (!o || !machines || !list || typeof o.d !== "string") return null;
   const done = new Uint8Array(TASKS_PER_CHUNK / 8);
   done.set(Buffer.from(o.d, "base64").subarray(0, done.length));
--- a/src/bookkeeping/stateStoreClient.ts
+++ b/src/bookkeeping/stateStoreClient.ts
@@ -1,16 +1,16 @@
 import { TokenBucket } from "../transport/tokenBucket.js";
 import type { Clock } from "../transport/clock.js";
-import type { HttpCaller, Reply } from "../transport/httpClient.js";
+import type { HttpCaller, ClientResponse } from "../transport/httpClient.js";
 import {
-  decodeEvents,
+  decodeChangeEvents,
   decodeFailedKeys,
   decodeItem,
-  decodeLease,
+  decodeLeaseId,
   decodePage,
   decodeRevision,
   encodeCompareAndSwap,
-  encodeLease,
-  statePaths,
+  encodeLeaseRequest,
+  stateStorePaths,
   type Change,
   type ChangeEvent,
   type VersionCondition,
@@ -68,7 +68,7 @@
   }
 
   async get(key: string, deadlineMs: number): Promise<ReadOutcome> {
-    const reply = await this.send("GET", statePaths.key(key), undefined, deadlineMs);
+    const reply = await this.send("GET", stateStorePaths.key(key), undefined, deadlineMs);
     if (reply?.status === 404) return { kind: "absent" };
     const item = reply?.status === 200 ? decodeItem(reply.body) : null;
     return item ? { kind: "found", item } : { kind: "failed" };
@@ -80,7 +80,7 @@
     let revision = -1;
     let after: string | null = null;
     for (;;) {
-      const reply = await this.send("GET", statePaths.page(prefix, after, PAGE), undefined, deadlineMs);
+      const reply = await this.send("GET", stateStorePaths.page(prefix, after, PAGE), undefined, deadlineMs);
       const page = reply?.status === 200 ? decodePage(reply.body) : null;
       if (!page) return { kind: "failed" };
       if (revision < 0) revision = page.revision;
@@ -98,12 +98,12 @@
   ): Promise<CompareAndSwapOutcome> {
     const now = this.clock.nowMs();
     if (now + this.writes.waitMs(changes.length, now) > deadlineMs) return { kind: "refused" };
-    const wait = this.writes.reserve(changes.length, now);
+    const wait = this.writes.reserveMs(changes.length, now);
     if (wait > 0) await this.sleep(wait);
     let lost = false;
     const reply = await this.send(
       "POST",
-      statePaths.compareAndSwap,
+      stateStorePaths.compareAndSwap,
       encodeCompareAndSwap(guards, changes),
       deadlineMs,
       () => {
@@ -121,25 +121,25 @@
   }
 
   async openLease(ttlMs: number, deadlineMs: number): Promise<number | null> {
-    const reply = await this.send("POST", statePaths.leases, encodeLease(ttlMs), deadlineMs);
-    return reply?.status === 200 ? decodeLease(reply.body) : null;
+    const reply = await this.send("POST", stateStorePaths.leases, encodeLeaseRequest(ttlMs), deadlineMs);
+    return reply?.status === 200 ? decodeLeaseId(reply.body) : null;
   }
 
   async renewLease(id: number, deadlineMs: number): Promise<"ok" | "ended" | "failed"> {
-    const reply = await this.send("POST", statePaths.renew(id), {}, deadlineMs);
+    const reply = await this.send("POST", stateStorePaths.renew(id), {}, deadlineMs);
     if (reply?.status === 200) return "ok";
     return reply?.status === 404 ? "ended" : "failed";
   }
 
   async endLease(id: number, deadlineMs: number): Promise<void> {
-    await this.send("DELETE", statePaths.lease(id), undefined, deadlineMs);
+    await this.send("DELETE", stateStorePaths.lease(id), undefined, deadlineMs);
   }
 
   async watch(prefix: string, after: number, waitMs: number, deadlineMs?: number): Promise<WatchOutcome> {
     const deadline = deadlineMs ?? this.clock.nowMs() + waitMs + 3000;
-    const reply = await this.send("GET", statePaths.watch(prefix, after, waitMs), undefined, deadline);
+    const reply = await this.send("GET", stateStorePaths.watch(prefix, after, waitMs), undefined, deadline);
     if (reply?.status === 410) return { kind: "too old" };
-    const got = reply?.status === 200 ? decodeEvents(reply.body) : null;
+    const got = reply?.status === 200 ? decodeChangeEvents(reply.body) : null;
     return got ? { kind: "ok", ...got } : { kind: "failed" };
   }
 
@@ -154,15 +154,15 @@
     body: unknown,
     deadlineMs: number,
     onLost?: () => void,
-  ): Promise<Reply | null> {
+  ): Promise<ClientResponse | null> {
     let pauseMs = 25;
     for (;;) {
       const now = this.clock.nowMs();
       if (now + this.requests.waitMs(1, now) >= deadlineMs) return null;
-      const wait = this.requests.reserve(1, now);
+      const wait = this.requests.reserveMs(1, now);
       if (wait > 0) await this.sleep(wait);
       const sentMs = this.clock.nowMs();
-      let reply: Reply;
+      let reply: ClientResponse;
       try {
         reply = await this.http.call(this.address, method, path, body, Math.max(1, deadlineMs - sentMs));
       } catch {
--- a/src/client.ts
+++ b/src/client.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from "node:fs";
-import { HttpClient, NoAnswer } from "./transport/httpClient.js";
+import { HttpClient, NoResponseError } from "./transport/httpClient.js";
 import { isJobId } from "./protocol/users.js";
 
 /** The command line's small client. Returns the exit code. */
@@ -31,7 +31,7 @@
     out.write(`${reply.status < 300 ? "" : `${reply.status} `}${JSON.stringify(reply.body)}\n`);
     return reply.status < 300 ? 0 : 1;
   } catch (error) {
-    if (error instanceof NoAnswer) throw new Error(`no answer: ${error.message}`, { cause: error });
+    if (error instanceof NoResponseError) throw new Error(`no answer: ${error.message}`, { cause: error });
     throw error;
   } finally {
     http.close();
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -10,20 +10,25 @@
 import { CommandRouter } from "../coordination/commands/commandRouter.js";
 import { Elector } from "../coordination/leadership/elector.js";
 import { HeartbeatServer } from "../coordination/heartbeats/heartbeatServer.js";
-import { parseJson } from "../protocol/checks.js";
+import { parseJson } from "../protocol/json.js";
 import { decodeMachineTypes } from "../protocol/cloud.js";
-import { decodePeer, encodePeer, PEER_VERSION, type PeerMessage } from "../protocol/peers.js";
-import { route } from "../protocol/users.js";
+import {
+  decodePeerMessage,
+  encodePeerMessage,
+  PEER_PROTOCOL_VERSION,
+  type PeerMessage,
+} from "../protocol/peers/messages.js";
+import { routeRequest } from "../protocol/users.js";
 import { decodeHeartbeat } from "../protocol/workers.js";
 import type { Operator } from "../settings/operator.js";
 import type { Platform } from "../settings/platform.js";
 import type { Clock } from "../transport/clock.js";
 import type { HttpCaller } from "../transport/httpClient.js";
 import { HttpClient } from "../transport/httpClient.js";
-import { startHttpServer, type Answer, type Incoming } from "../transport/httpServer.js";
+import { startHttpServer, type ServerResponse, type ServerRequest } from "../transport/httpServer.js";
 import { EventLoopLagMeter } from "../transport/eventLoopLag.js";
 import { log } from "../transport/log.js";
-import { PeerLinks, type PeerPort } from "../transport/peerLink.js";
+import { PeerLinks, type PeerPort } from "../transport/peerLinks.js";
 
 const MAX_BODY = 64 * 1024;
 /** A leadership lease shorter than this would be lost to a slow answer now and then. */
@@ -72,7 +77,7 @@
     private readonly out: Environment,
   ) {
     const { clock } = out;
-    const send = (peer: string, message: PeerMessage): boolean => out.peers.send(peer, encodePeer(message));
+    const send = (peer: string, message: PeerMessage) => out.peers.send(peer, encodePeerMessage(message));
     this.state = new StateStoreClient(out.state, clock, platform.stateStoreAddress, {
       rps: platform.stateStoreRps,
       writeRps: platform.stateStoreWriteRps,
@@ -208,12 +213,12 @@
   onLink(): (frame: Buffer) => string | null {
     let peer: string | null = null;
     return (frame) => {
-      const message = decodePeer(frame);
+      const message = decodePeerMessage(frame);
       if (!message) return "not a frame of ours";
       if (peer === null) {
         if (message.kind !== "hello") return "no greeting";
-        if (message.version !== PEER_VERSION)
-          return `${message.from} speaks version ${message.version}, this node ${PEER_VERSION}`;
+        if (message.version !== PEER_PROTOCOL_VERSION)
+          return `${message.from} speaks version ${message.version}, this node ${PEER_PROTOCOL_VERSION}`;
         if (!this.platform.peers.some((p) => p.name === message.from)) return `${message.from} is no peer`;
         peer = message.from;
         return null;
@@ -271,8 +276,8 @@
     return !(refusedForMs > ALONE_MS && now - this.leaderServedMs < FRESH_MS);
   }
 
-  onRequest(request: Incoming, reply: (answer: Answer) => void): void {
-    const call = route(request.method, request.path);
+  onRequest(request: ServerRequest, reply: (answer: ServerResponse) => void): void {
+    const call = routeRequest(request.method, request.path);
     switch (call.call) {
       case "report": {
         const heartbeat = decodeHeartbeat(parseJson(request.body));
@@ -303,7 +308,7 @@
       reply({ status: 503, body: { error: "too much at once" }, headers: { "Retry-After": "2" } });
       return;
     }
-    const done = (answer: Answer): void => {
+    const done = (answer: ServerResponse): void => {
       this.limiter.finished(kind);
       reply(answer);
     };
@@ -343,7 +348,7 @@
     listen: platform.peerListen,
     peers: platform.peers,
     clock,
-    greeting: encodePeer({ kind: "hello", from: platform.node, version: PEER_VERSION }),
+    greeting: encodePeerMessage({ kind: "hello", from: platform.node, version: PEER_PROTOCOL_VERSION }),
     onLink: () => running.onLink(),
     onRefused: (peer, standing) => running.onPeerRefused(peer, standing),
     onBadLink: (reason) => log.error(reason),
@@ -366,7 +371,7 @@
   await running.mayServe(START_WAIT_MS);
   const server: Server = await startHttpServer({
     listen: platform.listen,
-    maxBody: MAX_BODY,
+    maxBodyBytes: MAX_BODY,
     // Leave some for the state service, the cloud, workers and peers.
     maxConnections: Math.max(8, sockets - Math.min(200, Math.floor(sockets / 4))),
     handler: (request, reply) => running.onRequest(request, reply),
--- a/src/coordination/admission/admission.ts
+++ b/src/coordination/admission/admission.ts
@@ -1,22 +1,22 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
-import { asCount } from "../../protocol/checks.js";
+import { asNonNegativeInteger } from "../../protocol/json.js";
 import type { LiveJobCache } from "../../bookkeeping/liveJobCache.js";
 import { decodeFinal, encodeHead, keys, type FinalRecord, type JobHead } from "../../bookkeeping/records.js";
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import {
   decodeSubmission,
-  encodeAccepted,
-  encodeState,
+  encodeJobPhase,
+  encodeJobStatus,
   isJobId,
   type JobPhase,
 } from "../../protocol/users.js";
 import type { Team } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
-import type { Answer } from "../../transport/httpServer.js";
-import { Actor } from "../../transport/mailbox.js";
+import type { ServerResponse } from "../../transport/httpServer.js";
+import { Actor } from "../../transport/actor.js";
 import { log } from "../../transport/log.js";
 
-type Reply = (answer: Answer) => void;
+type Reply = (answer: ServerResponse) => void;
 
 type Message =
   | { kind: "submit"; value: unknown; reply: Reply }
@@ -81,11 +81,11 @@
   private readonly counts = new Map<string, { done: number; running: number }>();
 
   constructor(private readonly options: AdmissionOptions) {
-    super();
+    super("admission");
   }
 
   protected override failed(message: Message, error: unknown): void {
-    log.error(`admission: ${message.kind}: ${String((error as Error)?.stack ?? error)}`);
+    super.failed(message, error);
     if ("reply" in message)
       message.reply({ status: 500, body: { error: "internal error" }, headers: RETRY_AFTER });
   }
@@ -112,25 +112,25 @@
     }
   }
 
-  private run(work: Promise<Answer>, reply: Reply): void {
+  private run(work: Promise<ServerResponse>, reply: Reply): void {
     work.then(reply, (error: unknown) => {
       log.error(`admission: ${String((error as Error)?.stack ?? error)}`);
       reply({ status: 500, body: { error: "internal error" }, headers: RETRY_AFTER });
     });
   }
 
-  private later(why: string): Answer {
+  private later(why: string): ServerResponse {
     log.debug(() => `told a user to come back: ${why}`);
     return { status: 503, body: { error: why }, headers: RETRY_AFTER };
   }
 
-  private async submit(value: unknown): Promise<Answer> {
+  private async submit(value: unknown): Promise<ServerResponse> {
     const decoded = decodeSubmission(value);
     if ("wrong" in decoded) return { status: 400, body: { error: decoded.wrong } };
     const { spec } = decoded;
     const deadline = this.options.clock.nowMs() + SUBMIT_MS;
     const final = this.finals.get(spec.id);
-    if (final) return { status: 200, body: encodeAccepted(spec.id, phaseOf(final)) };
+    if (final) return { status: 200, body: encodeJobPhase(spec.id, phaseOf(final)) };
     if (!this.types) {
       // A job that was accepted before must not be refused now, but neither can we look without knowing types.
       const known = await this.lookUp(spec.id, deadline);
@@ -138,7 +138,7 @@
       return this.later("machine types are not known yet");
     }
     const never = rejectionReason(spec, this.types, this.options.teams);
-    const head: JobHead = { spec, acceptedAt: this.options.clock.today(), cancelledAt: null };
+    const head: JobHead = { spec, acceptedAt: this.options.clock.wallTime(), cancelledAt: null };
     const record = encodeHead(head);
     const tooBig = Buffer.byteLength(JSON.stringify(record)) > this.options.valueBytes;
     if (never !== null || tooBig) {
@@ -159,7 +159,7 @@
       deadline,
     );
     if (outcome.kind === "ok") {
-      return { status: 201, body: encodeAccepted(spec.id, "pending") };
+      return { status: 201, body: encodeJobPhase(spec.id, "pending") };
     }
     if (outcome.kind === "refused") return this.later("the state service does not take changes");
     // Known already, or the outcome is unknown: only reading tells.
@@ -168,9 +168,9 @@
     return this.knownAnswer(spec.id, known);
   }
 
-  private knownAnswer(id: string, known: { head: JobHead } | { final: FinalRecord }): Answer {
-    if ("final" in known) return { status: 200, body: encodeAccepted(id, phaseOf(known.final)) };
-    return { status: 200, body: encodeAccepted(id, this.headPhase(known.head)) };
+  private knownAnswer(id: string, known: { head: JobHead } | { final: FinalRecord }): ServerResponse {
+    if ("final" in known) return { status: 200, body: encodeJobPhase(id, phaseOf(known.final)) };
+    return { status: 200, body: encodeJobPhase(id, this.headPhase(known.head)) };
   }
 
   private headPhase(head: JobHead): JobPhase {
@@ -212,33 +212,38 @@
     return unreadable.kind === "absent" ? "absent" : "failed";
   }
 
-  private async show(id: string): Promise<Answer> {
+  private async show(id: string): Promise<ServerResponse> {
     if (!isJobId(id)) return { status: 404, body: { error: "no such job" } };
     const known = await this.lookUp(id, this.options.clock.nowMs() + POLL_MS);
     if (known === "failed") return this.later("the state service does not answer");
     if (known === "absent") return { status: 404, body: { error: "no such job" } };
     if ("final" in known) {
       const { final } = known;
-      return { status: 200, body: encodeState(id, phaseOf(final), final.cancelled ? 0 : final.tasks, 0) };
+      return { status: 200, body: encodeJobStatus(id, phaseOf(final), final.cancelled ? 0 : final.tasks, 0) };
     }
     const count = this.counts.get(id) ?? { done: 0, running: 0 };
     const phase = this.headPhase(known.head);
     return {
       status: 200,
-      body: encodeState(id, phase, asCount(count.done) ?? 0, asCount(count.running) ?? 0),
+      body: encodeJobStatus(
+        id,
+        phase,
+        asNonNegativeInteger(count.done) ?? 0,
+        asNonNegativeInteger(count.running) ?? 0,
+      ),
     };
   }
 
-  private async cancel(id: string): Promise<Answer> {
+  private async cancel(id: string): Promise<ServerResponse> {
     if (!isJobId(id)) return { status: 404, body: { error: "no such job" } };
     const deadline = this.options.clock.nowMs() + SUBMIT_MS;
     for (let round = 0; round < 4; round++) {
       const known = await this.lookUp(id, deadline);
       if (known === "failed") return this.later("the state service does not answer");
       if (known === "absent") return { status: 404, body: { error: "no such job" } };
-      if ("final" in known) return { status: 200, body: encodeAccepted(id, phaseOf(known.final)) };
+      if ("final" in known) return { status: 200, body: encodeJobPhase(id, phaseOf(known.final)) };
       if (known.head.cancelledAt !== null) return this.knownAnswer(id, known);
-      const head: JobHead = { ...known.head, cancelledAt: this.options.clock.today() };
+      const head: JobHead = { ...known.head, cancelledAt: this.options.clock.wallTime() };
       const outcome = await this.options.state.compareAndSwap(
         [{ key: keys.head(id), version: known.version }],
         [{ put: keys.head(id), value: encodeHead(head) }],
--- a/src/coordination/commands/commandRouter.ts
+++ b/src/coordination/commands/commandRouter.ts
@@ -1,5 +1,5 @@
 import type { CommandDelivery, DeliveryResult } from "../../protocol/model.js";
-import type { PeerMessage } from "../../protocol/peers.js";
+import type { PeerMessage } from "../../protocol/peers/messages.js";
 import type { Clock } from "../../transport/clock.js";
 import type { CommandSender } from "./commandSender.js";
 
--- a/src/coordination/commands/commandSender.ts
+++ b/src/coordination/commands/commandSender.ts
@@ -1,7 +1,7 @@
 import type { CommandDelivery, DeliveryResult } from "../../protocol/model.js";
 import { decodeHeartbeat, DIRECT_COMMANDS_PATH, encodeDirectCommands } from "../../protocol/workers.js";
 import type { HttpCaller } from "../../transport/httpClient.js";
-import { Actor } from "../../transport/mailbox.js";
+import { Actor } from "../../transport/actor.js";
 import { log } from "../../transport/log.js";
 
 type OnResult = (result: DeliveryResult) => void;
@@ -17,7 +17,7 @@
     private readonly http: HttpCaller,
     private readonly timeoutMs: number,
   ) {
-    super();
+    super("command sender");
   }
 
   protected override failed(message: Message, error: unknown): void {
--- a/src/coordination/heartbeats/confirmedCancellations.ts
+++ b/src/coordination/heartbeats/confirmedCancellations.ts
@@ -1,4 +1,4 @@
-import type { ConfirmedCancellation } from "../../protocol/peers.js";
+import type { ConfirmedCancellation } from "../../protocol/peers/messages.js";
 
 /** More that the leader has not confirmed are not kept: from then on only its own reading counts. */
 const KEPT = 4096;
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -1,4 +1,4 @@
-import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { Platform } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
 import { MIN_ZONE_LEASE_MS } from "../term/acknowledgementLimit.js";
@@ -84,7 +84,7 @@
     const { platform, lease, limits, servers, jobs, clock } = this.context;
     if (!lease.isLoaded) return;
     const knownMs = servers.cancellationsKnownUntilMs(this.context.cancellationsReadUntilMs());
-    limits.update(knownMs, jobs.values(), nowMs, clock.today());
+    limits.update(knownMs, jobs.values(), nowMs, clock.wallTime());
     const zoneLeaseMs = this.zoneLeaseMs(platform.zone, nowMs);
     this.context.onLimits({
       term: lease.term,
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -1,10 +1,9 @@
 import type { UnchangedHeartbeat, Heartbeat, ReceivedHeartbeat } from "../../protocol/model.js";
-import type { Grant, PeerMessage, HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { Grant, PeerMessage, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import { encodeRedirect, encodeHeartbeatResponse } from "../../protocol/workers.js";
 import type { Clock, Timer } from "../../transport/clock.js";
-import type { Answer } from "../../transport/httpServer.js";
-import { Actor } from "../../transport/mailbox.js";
-import { log } from "../../transport/log.js";
+import type { ServerResponse } from "../../transport/httpServer.js";
+import { Actor } from "../../transport/actor.js";
 import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
 import { CLOCK_DRIFT } from "../term/clockDrift.js";
 import { firstFencingToken } from "../term/fencingTokens.js";
@@ -13,7 +12,7 @@
 
 type Message =
   | { kind: "election"; change: LeadershipChange }
-  | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (answer: Answer) => void }
+  | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (answer: ServerResponse) => void }
   | { kind: "grant"; grant: Grant }
   | { kind: "servers"; servers: Grant["servers"] }
   | { kind: "limits"; limits: HeartbeatServerLimits }
@@ -117,7 +116,7 @@
   private stopped = false;
 
   constructor(private readonly options: HeartbeatServerOptions) {
-    super();
+    super("heartbeat server");
     this.confirmedCancellations = new ConfirmedCancellations(options.keepCancellationsMs);
     this.balancer = new WorkerBalancer(options.node, options.zones);
     this.neighbours = [...options.zones]
@@ -140,7 +139,7 @@
   }
 
   protected override failed(message: Message, error: unknown): void {
-    log.error(`report server: ${message.kind}: ${String((error as Error)?.stack ?? error)}`);
+    super.failed(message, error);
     if (message.kind === "heartbeat") message.reply({ status: 503, body: {} });
   }
 
@@ -276,7 +275,7 @@
     this.noteFirstGrant();
   }
 
-  private report(report: Heartbeat, reply: (answer: Answer) => void): void {
+  private report(report: Heartbeat, reply: (answer: ServerResponse) => void): void {
     const now = this.options.clock.nowMs();
     const ownZone = now >= this.untilMs();
     if (ownZone && !this.mayServeOwnZone(report.zone, now)) {
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -1,4 +1,4 @@
-import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import { CLOCK_DRIFT } from "../term/clockDrift.js";
 import type { HeartbeatServerFacts } from "../term/leaseProofs.js";
 
--- a/src/coordination/heartbeats/workerBalancer.ts
+++ b/src/coordination/heartbeats/workerBalancer.ts
@@ -1,4 +1,4 @@
-import type { Grant } from "../../protocol/peers.js";
+import type { Grant } from "../../protocol/peers/messages.js";
 import type { Heartbeat } from "../../protocol/model.js";
 
 /** A node this far behind sends workers on to nodes that keep up. */
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -1,8 +1,7 @@
 import type { DeliveryResult, MachineType } from "../../protocol/model.js";
-import type { HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { Timer } from "../../transport/clock.js";
-import { Actor } from "../../transport/mailbox.js";
-import { log } from "../../transport/log.js";
+import { Actor } from "../../transport/actor.js";
 import type { CloudEvent } from "../provisioning/cloudClient.js";
 import { Estimates } from "../scheduling/estimates.js";
 import type { LeaderOptions } from "./leaderOptions.js";
@@ -30,7 +29,7 @@
   private stopped = false;
 
   constructor(private readonly options: LeaderOptions) {
-    super();
+    super("leader");
     const { platform } = options;
     this.estimates = new Estimates(new Set([platform.zone, ...platform.peers.map((peer) => peer.zone)]));
   }
@@ -46,7 +45,7 @@
 
   protected override failed(message: LeaderMessage, error: unknown): void {
     const kind = message.kind === "term" ? message.message.kind : message.kind;
-    log.error(`leader: ${kind}: ${String((error as Error)?.stack ?? error)}`);
+    this.logFailure(kind, error);
   }
 
   protected override handle(message: LeaderMessage): void {
--- a/src/coordination/leader/leaderOptions.ts
+++ b/src/coordination/leader/leaderOptions.ts
@@ -1,6 +1,6 @@
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { CommandDelivery, MachineType } from "../../protocol/model.js";
-import type { Grant, TaskCounts } from "../../protocol/peers.js";
+import type { Grant, TaskCounts } from "../../protocol/peers/messages.js";
 import type { Operator } from "../../settings/operator.js";
 import type { Platform } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -1,4 +1,4 @@
-import type { HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import { FleetUsageLog } from "../provisioning/fleetUsageLog.js";
 import type { TermLease } from "../term/termLease.js";
 import { DEFERRED_WRITE_MS } from "../term/writeQueue.js";
--- a/src/coordination/leader/taskCountPublisher.ts
+++ b/src/coordination/leader/taskCountPublisher.ts
@@ -1,5 +1,5 @@
 import type { Job } from "../../bookkeeping/workload.js";
-import type { TaskCounts } from "../../protocol/peers.js";
+import type { TaskCounts } from "../../protocol/peers/messages.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 
 /** All counts are published this often, for a controller that has come in between. */
--- a/src/coordination/leader/termMessage.ts
+++ b/src/coordination/leader/termMessage.ts
@@ -1,5 +1,5 @@
 import type { DeliveryResult } from "../../protocol/model.js";
-import type { HeartbeatServerUpdate } from "../../protocol/peers.js";
+import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { CloudEvent } from "../provisioning/cloudClient.js";
 import type { RecordMessage } from "../records/recordMessages.js";
 
--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -1,9 +1,9 @@
 import type { Change, Item, StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import { keys } from "../../bookkeeping/records.js";
-import { asCount, asObject, asText } from "../../protocol/checks.js";
-import type { PeerMessage } from "../../protocol/peers.js";
+import { asNonNegativeInteger, asObject, asNonEmptyString } from "../../protocol/json.js";
+import type { PeerMessage } from "../../protocol/peers/messages.js";
 import type { Clock, Timer } from "../../transport/clock.js";
-import { Actor } from "../../transport/mailbox.js";
+import { Actor } from "../../transport/actor.js";
 import { log } from "../../transport/log.js";
 import { LeaderSuspicion, LIVENESS_WRITE_MS, SUSPICION_MS } from "./leaderSuspicion.js";
 import { leadershipLeaseUntilMs, type LeadershipChange } from "../term/leadershipLease.js";
@@ -66,13 +66,13 @@
     const o = asObject(item.value);
     if (item.key === keys.term) {
       view.termVersion = item.version;
-      view.term = asCount(o?.n) ?? 0;
+      view.term = asNonNegativeInteger(o?.n) ?? 0;
     } else if (item.key === keys.leader) {
       view.record = {
-        term: asCount(o?.n) ?? 0,
-        node: asText(o?.node) ?? "",
-        incarnation: asText(o?.life) ?? "",
-        lease: asCount(o?.lease) ?? 0,
+        term: asNonNegativeInteger(o?.n) ?? 0,
+        node: asNonEmptyString(o?.node) ?? "",
+        incarnation: asNonEmptyString(o?.life) ?? "",
+        lease: asNonNegativeInteger(o?.lease) ?? 0,
       };
     }
   }
@@ -124,7 +124,7 @@
   private livenessWritesUntilMs = -Infinity;
 
   constructor(private readonly options: ElectionOptions) {
-    super();
+    super("election");
   }
 
   start(): void {
@@ -136,10 +136,6 @@
     this.timer?.cancel();
   }
 
-  protected override failed(message: Message, error: unknown): void {
-    log.error(`election: ${message.kind}: ${String((error as Error)?.stack ?? error)}`);
-  }
-
   protected override handle(message: Message): void {
     switch (message.kind) {
       case "probe":
@@ -455,8 +451,8 @@
   private requestExtension(): void {
     if (!this.ownTerm) return;
     const sentMs = this.options.clock.nowMs();
-    const ask = ++this.lastRequest;
-    this.openRequests.set(ask, { sentMs, term: this.ownTerm.term, yes: new Set([this.options.node]) });
+    const requestId = ++this.lastRequest;
+    this.openRequests.set(requestId, { sentMs, term: this.ownTerm.term, yes: new Set([this.options.node]) });
     for (const [key, old] of this.openRequests)
       if (sentMs - old.sentMs > EXTENSION_MS) this.openRequests.delete(key);
     for (const peer of this.options.peers) {
@@ -464,7 +460,7 @@
         kind: "extension request",
         from: this.options.node,
         term: this.ownTerm.term,
-        ask,
+        requestId,
       });
     }
   }
@@ -498,8 +494,8 @@
           kind: "extension vote",
           from: this.options.node,
           term: message.term,
-          ask: message.ask,
-          yes:
+          requestId: message.requestId,
+          isGranted:
             this.ownTerm === null &&
             mayConfirmExtension({
               nowMs: now,
@@ -512,9 +508,9 @@
         });
         break;
       case "extension vote": {
-        const asked = this.openRequests.get(message.ask);
+        const asked = this.openRequests.get(message.requestId);
         if (
-          !message.yes ||
+          !message.isGranted ||
           !asked ||
           !this.ownTerm ||
           asked.term !== this.ownTerm.term ||
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -10,8 +10,8 @@
 } from "../../protocol/cloud.js";
 import { TokenBucket } from "../../transport/tokenBucket.js";
 import type { Clock } from "../../transport/clock.js";
-import type { HttpCaller, Reply } from "../../transport/httpClient.js";
-import { Actor } from "../../transport/mailbox.js";
+import type { HttpCaller, ClientResponse } from "../../transport/httpClient.js";
+import { Actor } from "../../transport/actor.js";
 import { log } from "../../transport/log.js";
 
 export interface ScaleOutOrder {
@@ -37,7 +37,7 @@
   | { kind: "types" }
   | { kind: "stop" }
   | { kind: "pump" }
-  | { kind: "reply"; work: Work; reply: Reply | null; askedMs: number };
+  | { kind: "reply"; work: Work; reply: ClientResponse | null; askedMs: number };
 
 type Work =
   | { kind: "rent"; order: ScaleOutOrder }
@@ -74,7 +74,7 @@
     rps: number,
     private readonly onEvent: (news: CloudEvent) => void,
   ) {
-    super();
+    super("cloud");
     this.bucket = new TokenBucket(rps * 0.85, Math.max(1, rps * 1.2), clock.nowMs());
   }
 
@@ -134,7 +134,7 @@
       }
       const work = this.next();
       if (!work) return;
-      this.bucket.take(1, now);
+      this.bucket.tryTake(1, now);
       this.inFlight++;
       this.send(work, now);
     }
@@ -191,7 +191,7 @@
     }
   }
 
-  private answered(work: Work, reply: Reply | null, askedMs: number): void {
+  private answered(work: Work, reply: ClientResponse | null, askedMs: number): void {
     if (work.kind === "rent" && reply?.status === 503 && isNoCapacity(reply.body)) {
       this.backoffMs = 0;
       this.onEvent({ kind: "no capacity", order: work.order });
--- a/src/coordination/records/jobRecords.ts
+++ b/src/coordination/records/jobRecords.ts
@@ -42,7 +42,7 @@
       if (head.cancelledAt !== null && !job.cancelled) attempts.cancelJob(job, head.cancelledAt);
       return;
     }
-    const ageMs = Math.max(0, clock.today().getTime() - head.acceptedAt.getTime());
+    const ageMs = Math.max(0, clock.wallTime().getTime() - head.acceptedAt.getTime());
     estimates.recordAcceleratorJob(head.spec);
     jobs.add(Job.fromHead(head, item.version, clock.nowMs() - ageMs));
   }
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,7 +3,7 @@
 import { loadOperator } from "./settings/operator.js";
 import { loadPlatform, SettingsError } from "./settings/platform.js";
 import { systemClock } from "./transport/clock.js";
-import { log, setupLog } from "./transport/log.js";
+import { log, configureLog } from "./transport/log.js";
 
 const HELP = `lichenturn - rents cloud machines and runs its users' jobs on them
 
@@ -61,7 +61,7 @@
         process.stdout.write(`settings are fine: node ${platform.node}, ${platform.teams.length} teams\n`);
         return 0;
       }
-      setupLog(process.env.LOG_LEVEL, platform.node);
+      configureLog(process.env.LOG_LEVEL, platform.node);
       process.on("uncaughtException", (error) => log.error(`uncaught: ${String(error.stack ?? error)}`));
       process.on("unhandledRejection", (error) => log.error(`unhandled: ${String(error)}`));
       const { serve } = await import("./controller/controller.js");
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,5 +1,5 @@
 import type { ListedMachine, MachineType } from "./model.js";
-import { asAmount, asList, asObject, asText, type Json } from "./checks.js";
+import { asNonNegativeNumber, asArray, asObject, asNonEmptyString, type JsonObject } from "./json.js";
 
 export const cloudPaths = {
   machineTypes: "/flavors",
@@ -10,34 +10,34 @@
 };
 
 export function decodeMachineTypes(value: unknown): MachineType[] | null {
-  const list = asList(asObject(value)?.breeds);
+  const list = asArray(asObject(value)?.breeds);
   if (!list) return null;
   const types: MachineType[] = [];
   for (const entry of list) {
     const o = asObject(entry);
-    const name = asText(o?.name);
-    const cpus = asAmount(o?.cores);
-    const memoryGb = asAmount(o?.memoryGb);
-    const zones = asList(o?.patches);
+    const name = asNonEmptyString(o?.name);
+    const cpus = asNonNegativeNumber(o?.cores);
+    const memoryGb = asNonNegativeNumber(o?.memoryGb);
+    const zones = asArray(o?.patches);
     if (!o || name === null || cpus === null || memoryGb === null || !zones) continue;
-    const price = asAmount(o.price) ?? 0;
+    const price = asNonNegativeNumber(o.price) ?? 0;
     types.push({
       name,
       cpus,
-      gpus: asAmount(o.gpus) ?? 0,
+      gpus: asNonNegativeNumber(o.gpus) ?? 0,
       memoryGb,
-      cacheGb: asAmount(o.cacheGb) ?? 0,
-      fetchGbPerS: asAmount(o.fetchGbPerS) || 0.1,
+      cacheGb: asNonNegativeNumber(o.cacheGb) ?? 0,
+      fetchGbPerS: asNonNegativeNumber(o.fetchGbPerS) || 0.1,
       price,
-      spotPrice: asAmount(o.lowPrice) ?? price,
-      bootS: asAmount(o.bootS) ?? 60,
-      zones: zones.filter((z): z is string => asText(z) !== null),
+      spotPrice: asNonNegativeNumber(o.lowPrice) ?? price,
+      bootS: asNonNegativeNumber(o.bootS) ?? 60,
+      zones: zones.filter((z): z is string => asNonEmptyString(z) !== null),
     });
   }
   return types;
 }
 
-export function encodeMachineTypes(types: MachineType[]): Json {
+export function encodeMachineTypes(types: MachineType[]): JsonObject {
   return {
     breeds: types.map((type) => ({
       name: type.name,
@@ -60,42 +60,42 @@
   zone: string,
   spot: boolean,
   count: number,
-): Json {
+): JsonObject {
   return { plea: request, breed: type, patch: zone, windfall: spot, howMany: count };
 }
 
 /** The names rented, or null when the answer can't be read. */
 export function decodeCreatedMachines(value: unknown): string[] | null {
-  const list = asList(asObject(value)?.tufts);
-  return list ? list.filter((n): n is string => asText(n) !== null) : null;
+  const list = asArray(asObject(value)?.tufts);
+  return list ? list.filter((n): n is string => asNonEmptyString(n) !== null) : null;
 }
 
 export function isNoCapacity(value: unknown): boolean {
   return asObject(value)?.error === "no capacity";
 }
 
-export function encodeDeleteMachines(names: string[]): Json {
+export function encodeDeleteMachines(names: string[]): JsonObject {
   return { tufts: names };
 }
 
 export function decodeMachineList(value: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const o = asObject(value);
-  const list = asList(o?.tufts);
+  const list = asArray(o?.tufts);
   if (!o || !list) return null;
   const machines: ListedMachine[] = [];
   for (const entry of list) {
     const m = asObject(entry);
-    const name = asText(m?.ref);
-    const phase = asText(m?.phase);
+    const name = asNonEmptyString(m?.ref);
+    const phase = asNonEmptyString(m?.phase);
     if (!m || name === null || (phase !== "starting" && phase !== "running" && phase !== "failed")) continue;
     machines.push({
       name,
-      address: asText(m.address) ?? "",
-      type: asText(m.breed) ?? "",
-      zone: asText(m.patch) ?? "",
+      address: asNonEmptyString(m.address) ?? "",
+      type: asNonEmptyString(m.breed) ?? "",
+      zone: asNonEmptyString(m.patch) ?? "",
       spot: m.windfall === true,
       phase,
-      ageS: asAmount(m.ageS) ?? 0,
+      ageS: asNonNegativeNumber(m.ageS) ?? 0,
     });
   }
   return { machines, more: o.more === true };
--- a/src/protocol/peers.ts
+++ b/src/protocol/peers/messages.ts
@@ -1,4 +1,4 @@
-import { Reader, Writer } from "./bytes.js";
+import { Reader, Writer } from "../bytes.js";
 import type {
   Command,
   CommandDelivery,
@@ -9,10 +9,10 @@
   TaskStatus,
   ReceivedHeartbeat,
   TaskPhase,
-} from "./model.js";
+} from "../model.js";
 
 /** Controllers of another version are refused: their frames may mean something else. */
-export const PEER_VERSION = 4;
+export const PEER_PROTOCOL_VERSION = 4;
 const MAGIC = "lichenturn";
 
 /** A cancellation that a user was told of, and the time of day just before it was committed. */
@@ -84,8 +84,8 @@
   /** Opens every link. */
   | { kind: "hello"; from: string; version: number }
   /** May the leader of this term go on acknowledging reports? */
-  | { kind: "extension request"; from: string; term: number; ask: number }
-  | { kind: "extension vote"; from: string; term: number; ask: number; yes: boolean }
+  | { kind: "extension request"; from: string; term: number; requestId: number }
+  | { kind: "extension vote"; from: string; term: number; requestId: number; isGranted: boolean }
   /** I lead this term: confirm no extension of an earlier one from now on. */
   | { kind: "term announcement"; from: string; term: number }
   | { kind: "term acknowledgement"; from: string; term: number }
@@ -194,20 +194,20 @@
   return op === "stop" ? { op, ...base, graceS: reader.number() / 1000 } : { op, ...base };
 }
 
-export function encodePeer(message: PeerMessage): Buffer {
+export function encodePeerMessage(message: PeerMessage): Buffer {
   const writer = new Writer().byte(KINDS.indexOf(message.kind)).text(message.from);
   switch (message.kind) {
     case "hello":
       writer.text(MAGIC).number(message.version);
       break;
     case "extension request":
-      writer.number(message.term).number(message.ask);
+      writer.number(message.term).number(message.requestId);
       break;
     case "extension vote":
       writer
         .number(message.term)
-        .number(message.ask)
-        .byte(message.yes ? 1 : 0);
+        .number(message.requestId)
+        .byte(message.isGranted ? 1 : 0);
       break;
     case "term announcement":
     case "term acknowledgement":
@@ -275,7 +275,7 @@
 }
 
 /** Null for anything that isn't exactly one of our messages. */
-export function decodePeer(frame: Buffer): PeerMessage | null {
+export function decodePeerMessage(frame: Buffer): PeerMessage | null {
   try {
     const reader = new Reader(frame);
     const kind = KINDS[reader.byte()];
@@ -293,9 +293,9 @@
     case "hello":
       return reader.text() === MAGIC ? { kind, from, version: reader.number() } : null;
     case "extension request":
-      return { kind, from, term: reader.number(), ask: reader.number() };
+      return { kind, from, term: reader.number(), requestId: reader.number() };
     case "extension vote":
-      return { kind, from, term: reader.number(), ask: reader.number(), yes: reader.flag() };
+      return { kind, from, term: reader.number(), requestId: reader.number(), isGranted: reader.flag() };
     case "term announcement":
     case "term acknowledgement":
     case "isolated":
--- a/src/protocol/stateStore.ts
+++ b/src/protocol/stateStore.ts
@@ -1,4 +1,4 @@
-import { asCount, asList, asObject, asText, type Json } from "./checks.js";
+import { asNonNegativeInteger, asArray, asObject, asNonEmptyString, type JsonObject } from "./json.js";
 
 export interface Item {
   key: string;
@@ -14,7 +14,7 @@
 export type ChangeEvent =
   { key: string; value: unknown; version: number } | { key: string; gone: true; version: number };
 
-export const statePaths = {
+export const stateStorePaths = {
   key: (key: string): string => `/keys/${key}`,
   page: (prefix: string, after: string | null, limit: number): string =>
     `/keys?prefix=${encodeURIComponent(prefix)}${after === null ? "" : `&after=${encodeURIComponent(after)}`}&limit=${limit}`,
@@ -26,7 +26,7 @@
     `/changes?prefix=${encodeURIComponent(prefix)}&after=${after}&holdMs=${waitMs}`,
 };
 
-export function encodeCompareAndSwap(guards: VersionCondition[], changes: Change[]): Json {
+export function encodeCompareAndSwap(guards: VersionCondition[], changes: Change[]): JsonObject {
   return {
     guards: guards.map((g) => ({ path: g.key, stamp: g.version })),
     then: changes.map((change) => {
@@ -39,25 +39,25 @@
 }
 
 export function decodeRevision(value: unknown): number | null {
-  return asCount(asObject(value)?.ring);
+  return asNonNegativeInteger(asObject(value)?.ring);
 }
 
 export function decodeFailedKeys(value: unknown): string[] {
-  const list = asList(asObject(value)?.failed) ?? [];
-  return list.filter((k): k is string => asText(k) !== null);
+  const list = asArray(asObject(value)?.failed) ?? [];
+  return list.filter((k): k is string => asNonEmptyString(k) !== null);
 }
 
 export function decodeItem(value: unknown): Item | null {
   const o = asObject(value);
-  const key = asText(o?.path);
-  const version = asCount(o?.stamp);
+  const key = asNonEmptyString(o?.path);
+  const version = asNonNegativeInteger(o?.stamp);
   return o && key !== null && version !== null ? { key, value: o.data, version } : null;
 }
 
 export function decodePage(value: unknown): { items: Item[]; more: boolean; revision: number } | null {
   const o = asObject(value);
-  const list = asList(o?.entries);
-  const revision = asCount(o?.ring);
+  const list = asArray(o?.entries);
+  const revision = asNonNegativeInteger(o?.ring);
   if (!o || !list || revision === null) return null;
   const items: Item[] = [];
   for (const entry of list) {
@@ -68,26 +68,26 @@
   return { items, more: o.more === true, revision };
 }
 
-export function decodeLease(value: unknown): number | null {
-  return asCount(asObject(value)?.tenure);
+export function decodeLeaseId(value: unknown): number | null {
+  return asNonNegativeInteger(asObject(value)?.tenure);
 }
 
-export function encodeLease(ttlMs: number): Json {
+export function encodeLeaseRequest(ttlMs: number): JsonObject {
   return { lifeMs: ttlMs };
 }
 
-export function decodeEvents(value: unknown): { revision: number; events: ChangeEvent[] } | null {
+export function decodeChangeEvents(value: unknown): { revision: number; events: ChangeEvent[] } | null {
   const o = asObject(value);
-  const revision = asCount(o?.ring);
-  const list = asList(o?.news);
+  const revision = asNonNegativeInteger(o?.ring);
+  const list = asArray(o?.news);
   if (!o || revision === null || !list) return null;
   const events: ChangeEvent[] = [];
   for (const entry of list) {
     const e = asObject(entry);
-    const version = asCount(e?.stamp);
+    const version = asNonNegativeInteger(e?.stamp);
     if (!e || version === null) return null;
-    const put = asText(e.set);
-    const drop = asText(e.drop);
+    const put = asNonEmptyString(e.set);
+    const drop = asNonEmptyString(e.drop);
     if (put !== null) events.push({ key: put, value: e.data, version });
     else if (drop !== null) events.push({ key: drop, gone: true, version });
   }
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -1,5 +1,12 @@
 import type { JobKind, JobSpec, Priority } from "./model.js";
-import { asAmount, asCount, asList, asObject, asText, type Json } from "./checks.js";
+import {
+  asNonNegativeNumber,
+  asNonNegativeInteger,
+  asArray,
+  asObject,
+  asNonEmptyString,
+  type JsonObject,
+} from "./json.js";
 
 const KINDS: Record<string, JobKind> = { array: "array", ensemble: "gang", standing: "service" };
 const PRIORITIES: Record<string, Priority> = { prod: 3, high: 2, standard: 1, best_effort: 0 };
@@ -35,13 +42,13 @@
   };
   const flag = (v: unknown): boolean | null => (typeof v === "boolean" ? v : null);
   const names = (v: unknown): string[] | null => {
-    const list = asList(v);
-    return list && list.every((x) => asText(x) !== null) ? (list as string[]) : null;
+    const list = asArray(v);
+    return list && list.every((x) => asNonEmptyString(x) !== null) ? (list as string[]) : null;
   };
   const spec: JobSpec = {
     id: need("ref", (v) => (typeof v === "string" && isJobId(v) ? v : null), ""),
-    className: need("strain", asText, ""),
-    team: need("crew", asText, ""),
+    className: need("strain", asNonEmptyString, ""),
+    team: need("crew", asNonEmptyString, ""),
     kind: need("form", (v) => (typeof v === "string" && Object.hasOwn(KINDS, v) ? KINDS[v]! : null), "array"),
     priority: need(
       "rank",
@@ -51,31 +58,31 @@
     tasks: need(
       "spores",
       (v) => {
-        const n = asCount(v);
+        const n = asNonNegativeInteger(v);
         return n !== null && n >= 1 && n <= MAX_TASKS ? n : null;
       },
       1,
     ),
-    cpus: need("cores", asAmount, 0),
-    gpus: need("gpus", asAmount, 0),
-    memoryGb: need("memoryGb", asAmount, 0),
-    image: need("seedstock", asText, ""),
-    imageGb: need("pullGb", asAmount, 0),
+    cpus: need("cores", asNonNegativeNumber, 0),
+    gpus: need("gpus", asNonNegativeNumber, 0),
+    memoryGb: need("memoryGb", asNonNegativeNumber, 0),
+    image: need("seedstock", asNonEmptyString, ""),
+    imageGb: need("pullGb", asNonNegativeNumber, 0),
     types: maybe("breeds", names),
-    zone: maybe("patch", asText),
+    zone: maybe("patch", asNonEmptyString),
     oneZone: need("together", flag, false),
     spread: need("scatter", flag, false),
     spot: need("windfall", flag, false),
-    estimateS: need("guessS", asAmount, 0),
-    checkpointS: need("cairnS", asAmount, 0),
-    saveS: need("stashS", asAmount, 0),
-    deadlineS: maybe("dueS", asAmount),
+    estimateS: need("guessS", asNonNegativeNumber, 0),
+    checkpointS: need("cairnS", asNonNegativeNumber, 0),
+    saveS: need("stashS", asNonNegativeNumber, 0),
+    deadlineS: maybe("dueS", asNonNegativeNumber),
   };
   return wrong.length > 0 ? { wrong: `missing or invalid: ${wrong.join(", ")}` } : { spec };
 }
 
 /** A submission as it goes over the wire: the command line's own client uses it. */
-export function encodeSubmission(spec: JobSpec): Json {
+export function encodeSubmission(spec: JobSpec): JsonObject {
   const word = <T>(table: Record<string, T>, value: T): string =>
     Object.keys(table).find((key) => table[key] === value)!;
   return {
@@ -102,15 +109,15 @@
   };
 }
 
-export function encodeAccepted(id: string, phase: JobPhase): Json {
+export function encodeJobPhase(id: string, phase: JobPhase): JsonObject {
   return { ref: id, phase: PHASE_WORDS[phase] };
 }
 
-export function encodeState(id: string, phase: JobPhase, done: number, running: number): Json {
+export function encodeJobStatus(id: string, phase: JobPhase, done: number, running: number): JsonObject {
   return { ref: id, phase: PHASE_WORDS[phase], done, running };
 }
 
-export type UserCall =
+export type ApiRoute =
   | { call: "submit" }
   | { call: "show"; id: string }
   | { call: "cancel"; id: string }
@@ -119,8 +126,8 @@
   | { call: "none"; status: 404 | 405; allow?: string };
 
 /** Which call a method and a path mean. */
-export function route(method: string, path: string): UserCall {
-  const wants = (verb: string, call: UserCall): UserCall =>
+export function routeRequest(method: string, path: string): ApiRoute {
+  const wants = (verb: string, call: ApiRoute): ApiRoute =>
     method === verb ? call : { call: "none", status: 405, allow: verb };
   if (path === "/checkin") return wants("POST", { call: "report" });
   if (path === "/ready") return wants("GET", { call: "ready" });
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,5 +1,12 @@
 import type { Command, ExitCause, Heartbeat, TaskStatus, TaskPhase } from "./model.js";
-import { asAmount, asCount, asList, asObject, asText, type Json } from "./checks.js";
+import {
+  asNonNegativeNumber,
+  asNonNegativeInteger,
+  asArray,
+  asObject,
+  asNonEmptyString,
+  type JsonObject,
+} from "./json.js";
 
 const PHASES: Record<string, TaskPhase> = {
   fetching: "fetching",
@@ -43,10 +50,10 @@
   const name = o.spore;
   const at = name.lastIndexOf("/");
   const task = at > 0 ? taskNumber(name, at) : -1;
-  const attempt = asCount(o.sprout);
+  const attempt = asNonNegativeInteger(o.sprout);
   const phase = PHASES[o.phase];
   if (task < 0 || attempt === null || !phase) return null;
-  const cause = phase === "exited" ? (CAUSES[asText(o.cause) ?? ""] ?? "other") : null;
+  const cause = phase === "exited" ? (CAUSES[asNonEmptyString(o.cause) ?? ""] ?? "other") : null;
   return { jobId: name.slice(0, at), task, attempt, phase, cause, saved: o.kept === true };
 }
 
@@ -55,10 +62,10 @@
 export function decodeHeartbeat(value: unknown): Heartbeat | null {
   const o = asObject(value);
   if (!o) return null;
-  const machine = asText(o.tuft);
-  const epoch = asCount(o.bloom);
-  const tick = asCount(o.tick);
-  const list = asList(o.spores ?? []);
+  const machine = asNonEmptyString(o.tuft);
+  const epoch = asNonNegativeInteger(o.bloom);
+  const tick = asNonNegativeInteger(o.tick);
+  const list = asArray(o.spores ?? []);
   if (machine === null || epoch === null || tick === null || !list) return null;
   const tasks: TaskStatus[] = [];
   for (const entry of list) {
@@ -68,35 +75,35 @@
   }
   return {
     machine,
-    address: asText(o.address) ?? "",
-    type: asText(o.breed) ?? "",
-    zone: asText(o.patch) ?? "",
+    address: asNonEmptyString(o.address) ?? "",
+    type: asNonEmptyString(o.breed) ?? "",
+    zone: asNonEmptyString(o.patch) ?? "",
     spot: o.windfall === true,
     epoch,
     tick,
-    fencingToken: asCount(o.crook) ?? 0,
-    interruptionNoticeS: o.warningS === undefined ? null : asAmount(o.warningS),
+    fencingToken: asNonNegativeInteger(o.crook) ?? 0,
+    interruptionNoticeS: o.warningS === undefined ? null : asNonNegativeNumber(o.warningS),
     tasks,
   };
 }
 
-function encodeCommand(command: Command): Json {
+function encodeCommand(command: Command): JsonObject {
   const base = { spore: taskName(command.jobId, command.task), sprout: command.attempt };
   if (command.op === "stop") return { verb: "stop", ...base, wiltS: command.graceS };
   return { verb: command.op, ...base };
 }
 
-export function encodeHeartbeatResponse(token: number, commands: Command[]): Json {
+export function encodeHeartbeatResponse(token: number, commands: Command[]): JsonObject {
   return { crook: token, bids: commands.map(encodeCommand) };
 }
 
-export function encodeDirectCommands(token: number, session: number, commands: Command[]): Json {
+export function encodeDirectCommands(token: number, session: number, commands: Command[]): JsonObject {
   return { crook: token, bloom: session, bids: commands.map(encodeCommand) };
 }
 
 export const DIRECT_COMMANDS_PATH = "/commands";
 
 /** 421 sends a worker on; naming nobody makes it try the next node by itself. */
-export function encodeRedirect(leader: string | null): Json {
+export function encodeRedirect(leader: string | null): JsonObject {
   return leader === null ? {} : { steward: leader };
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -3,7 +3,7 @@
   /** Steady milliseconds; never goes back. */
   nowMs(): number;
   /** Time of day; only as good as the operator's clocks. */
-  today(): Date;
+  wallTime(): Date;
   after(delayMs: number, run: () => void): Timer;
 }
 
@@ -13,7 +13,7 @@
 
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
-  today: () => new Date(),
+  wallTime: () => new Date(),
   after(delayMs, run) {
     const handle = setTimeout(run, Math.max(0, delayMs));
     return { cancel: () => clearTimeout(handle) };
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -1,12 +1,12 @@
 import * as http from "node:http";
 
-export interface Reply {
+export interface ClientResponse {
   status: number;
   body: unknown;
 }
 
 /** No answer came: the request may or may not have been carried out, now or later. */
-export class NoAnswer extends Error {
+export class NoResponseError extends Error {
   /** True when the connection was never made, so that nothing can have been sent. */
   constructor(
     reason: string,
@@ -18,7 +18,13 @@
 
 export interface HttpCaller {
   /** Resolves with any answer whatever its status; rejects with NoAnswer. */
-  call(address: string, method: string, path: string, body: unknown, timeoutMs: number): Promise<Reply>;
+  call(
+    address: string,
+    method: string,
+    path: string,
+    body: unknown,
+    timeoutMs: number,
+  ): Promise<ClientResponse>;
 }
 
 /** Keeps connections open, one request at a time on each, a few for each address. */
@@ -35,7 +41,13 @@
     });
   }
 
-  call(address: string, method: string, path: string, body: unknown, timeoutMs: number): Promise<Reply> {
+  call(
+    address: string,
+    method: string,
+    path: string,
+    body: unknown,
+    timeoutMs: number,
+  ): Promise<ClientResponse> {
     const at = address.lastIndexOf(":");
     // A string, not a buffer: it goes out together with the headers, in one piece.
     const payload = body === undefined ? undefined : JSON.stringify(body);
@@ -47,7 +59,7 @@
         settled = true;
         clearTimeout(timer);
         request.destroy();
-        reject(new NoAnswer(reason, !connected));
+        reject(new NoResponseError(reason, !connected));
       };
       const headers: http.OutgoingHttpHeaders = {};
       if (payload) {
--- a/src/transport/httpServer.ts
+++ b/src/transport/httpServer.ts
@@ -1,7 +1,7 @@
 import * as http from "node:http";
 import { splitAddress } from "./address.js";
 
-export interface Incoming {
+export interface ServerRequest {
   method: string;
   /** Path without the query. */
   path: string;
@@ -9,20 +9,20 @@
   body: Buffer;
 }
 
-export interface Answer {
+export interface ServerResponse {
   status: number;
   body: unknown;
   headers?: Record<string, string>;
 }
 
 /** Answers through `reply`, exactly once; later calls do nothing. */
-export type Handler = (request: Incoming, reply: (answer: Answer) => void) => void;
+export type RequestHandler = (request: ServerRequest, reply: (answer: ServerResponse) => void) => void;
 
-export interface ServerOptions {
+export interface HttpServerOptions {
   listen: string;
-  maxBody: number;
+  maxBodyBytes: number;
   maxConnections: number;
-  handler: Handler;
+  handler: RequestHandler;
   onError: (error: Error) => void;
 }
 
@@ -30,12 +30,12 @@
  * The one HTTP server of a controller. A half-sent request is given up after a while, a body over the limit
  * is refused without reading on, and an exception in a handler becomes a 500 for that request alone.
  */
-export function startHttpServer(options: ServerOptions): Promise<http.Server> {
+export function startHttpServer(options: HttpServerOptions): Promise<http.Server> {
   const server = http.createServer(
     { keepAliveTimeout: 75_000, requestTimeout: 15_000 },
     (request, response) => {
       let answered = false;
-      const reply = (answer: Answer): void => {
+      const reply = (answer: ServerResponse): void => {
         if (answered) return;
         answered = true;
         if (response.destroyed) return;
@@ -55,13 +55,13 @@
         request.removeAllListeners("data");
         request.resume();
       };
-      if (Number(request.headers["content-length"] ?? 0) > options.maxBody) {
+      if (Number(request.headers["content-length"] ?? 0) > options.maxBodyBytes) {
         tooLarge();
         return;
       }
       request.on("data", (part: Buffer) => {
         size += part.length;
-        if (size > options.maxBody) tooLarge();
+        if (size > options.maxBodyBytes) tooLarge();
         else parts.push(part);
       });
       request.on("error", () => (answered = true));
--- a/src/transport/peerLink.ts
+++ b/src/transport/peerLinks.ts
@@ -7,7 +7,7 @@
 const MAX_FRAME = 256 * 1024;
 
 /** Splits a byte stream into frames. */
-export class FrameReader {
+export class FrameDecoder {
   private held: Buffer = Buffer.alloc(0);
 
   /** Returns the whole frames so far, or null when the stream makes no sense. */
@@ -25,7 +25,7 @@
   }
 }
 
-export function frame(payload: Buffer): Buffer {
+export function encodeFrame(payload: Buffer): Buffer {
   const out = Buffer.allocUnsafe(HEADER + payload.length);
   out.writeUInt32BE(payload.length, 0);
   payload.copy(out, HEADER);
@@ -78,7 +78,7 @@
     const socket = this.out.get(peer);
     // A link that doesn't drain belongs to a silent peer: a late confirmation is worth nothing, so drop.
     if (!socket || payload.length > MAX_FRAME || socket.writableLength > 4 * MAX_FRAME) return false;
-    socket.write(frame(payload));
+    socket.write(encodeFrame(payload));
     return true;
   }
 
@@ -101,7 +101,7 @@
     socket.on("connect", () => {
       socket.setTimeout(0);
       stood = true;
-      socket.write(frame(this.options.greeting));
+      socket.write(encodeFrame(this.options.greeting));
       this.out.set(peer.name, socket);
     });
     socket.on("data", () => undefined);
@@ -119,7 +119,7 @@
   }
 
   private read(socket: net.Socket): void {
-    const reader = new FrameReader();
+    const reader = new FrameDecoder();
     const take = this.options.onLink();
     const refuse = (reason: string): void => {
       this.options.onBadLink(`link from ${socket.remoteAddress ?? "somewhere"} closed: ${reason}`);
--- a/src/transport/tokenBucket.ts
+++ b/src/transport/tokenBucket.ts
@@ -22,7 +22,7 @@
     return Math.floor(this.level + 1e-9);
   }
 
-  take(count: number, nowMs: number): boolean {
+  tryTake(count: number, nowMs: number): boolean {
     this.refill(nowMs);
     if (this.level + 1e-9 < count) return false;
     this.level -= count;
@@ -30,7 +30,7 @@
   }
 
   /** Takes `count` now, on credit if need be, and returns how long to wait before using it. */
-  reserve(count: number, nowMs: number): number {
+  reserveMs(count: number, nowMs: number): number {
     this.refill(nowMs);
     this.level -= count;
     return this.level >= 0 ? 0 : Math.ceil((-this.level / this.perSecond) * 1000);
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -17,7 +17,7 @@
     return this.now;
   }
 
-  today(): Date {
+  wallTime(): Date {
     return new Date(1_800_000_000_000 + this.now);
   }
 
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,4 +1,4 @@
-import type { Reply } from "../../src/transport/httpClient.js";
+import type { ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 import type { SimNet, SimRequest } from "./net.js";
 
@@ -71,7 +71,7 @@
     this.onGone(tuft);
   }
 
-  private serve(q: SimRequest): Reply {
+  private serve(q: SimRequest): ClientResponse {
     if (this.clock.nowMs() < this.outageUntilMs) return { status: 503, body: { error: "trouble" } };
     const url = new URL(q.path, "http://cloud");
     const body = q.body as Record<string, unknown>;
@@ -97,7 +97,7 @@
     return { status: 200, body: { tufts, more: false } };
   }
 
-  private rent(body: Record<string, unknown>): Reply {
+  private rent(body: Record<string, unknown>): ClientResponse {
     const plea = String(body.plea);
     const known = this.pleas.get(plea);
     if (known) return { status: 200, body: { tufts: known } };
--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -1,5 +1,5 @@
-import type { HttpCaller, Reply } from "../../src/transport/httpClient.js";
-import { NoAnswer } from "../../src/transport/httpClient.js";
+import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
+import { NoResponseError } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 
 export interface SimRequest {
@@ -7,7 +7,7 @@
   path: string;
   body: unknown;
 }
-export type SimHost = (request: SimRequest, answer: (reply: Reply) => void, from: string) => void;
+export type SimHost = (request: SimRequest, answer: (reply: ClientResponse) => void, from: string) => void;
 
 interface Cut {
   a: (host: string) => boolean;
@@ -60,9 +60,9 @@
   caller(from: string, alive: () => boolean): HttpCaller {
     return {
       call: (address, method, path, body, timeoutMs) =>
-        new Promise<Reply>((resolve, reject) => {
+        new Promise<ClientResponse>((resolve, reject) => {
           const timer = this.clock.after(timeoutMs, () => {
-            if (alive()) reject(new NoAnswer("timeout", false));
+            if (alive()) reject(new NoResponseError("timeout", false));
           });
           const copy = body === undefined ? undefined : (JSON.parse(JSON.stringify(body)) as unknown);
           const arrive = (first: boolean): void => {
@@ -70,7 +70,7 @@
             if (!host) {
               if (first && alive()) {
                 timer.cancel();
-                reject(new NoAnswer("refused", true));
+                reject(new NoResponseError("refused", true));
               }
               return;
             }
--- a/test/fakes/peerMessages.ts
+++ b/test/fakes/peerMessages.ts
@@ -1,5 +1,5 @@
 import type { Heartbeat, TaskStatus } from "../../src/protocol/model.js";
-import type { PeerMessage } from "../../src/protocol/peers.js";
+import type { PeerMessage } from "../../src/protocol/peers/messages.js";
 
 /** A heartbeat whose fields reach the limits of their encodings. */
 export const largeHeartbeat: Heartbeat = {
@@ -54,9 +54,9 @@
 /** At least one message of each kind, by name; both values of each flag and each optional field. */
 export const peerMessages: Record<string, PeerMessage> = {
   hello: { kind: "hello", from: "n3", version: 2 },
-  "extension request": { kind: "extension request", from: "n1", term: 7, ask: 2 ** 40 },
-  "extension vote: yes": { kind: "extension vote", from: "n2", term: 7, ask: 1, yes: true },
-  "extension vote: no": { kind: "extension vote", from: "n2", term: 7, ask: 2, yes: false },
+  "extension request": { kind: "extension request", from: "n1", term: 7, requestId: 2 ** 40 },
+  "extension vote: yes": { kind: "extension vote", from: "n2", term: 7, requestId: 1, isGranted: true },
+  "extension vote: no": { kind: "extension vote", from: "n2", term: 7, requestId: 2, isGranted: false },
   "term announcement": { kind: "term announcement", from: "n1", term: 8 },
   "term acknowledgement": { kind: "term acknowledgement", from: "n1", term: 8 },
   "task counts": { kind: "task counts", from: "n1", term: 8, jobs: [{ id: "job-1", done: 3, running: 2 }] },
--- a/test/fakes/state.ts
+++ b/test/fakes/state.ts
@@ -1,4 +1,4 @@
-import type { Reply } from "../../src/transport/httpClient.js";
+import type { ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 import type { SimNet, SimRequest } from "./net.js";
 
@@ -9,7 +9,7 @@
 }
 
 type Change = { set: string; data: unknown; tenure?: number } | { drop: string };
-type Answer = (reply: Reply) => void;
+type Answer = (reply: ClientResponse) => void;
 
 /** A request that waits for changes after a revision. */
 interface Watch {
@@ -45,7 +45,7 @@
     private readonly valueKb = 8,
   ) {
     net.listen(address, (request, answer, from) => {
-      const slowly = (reply: Reply): void => {
+      const slowly = (reply: ClientResponse): void => {
         const waitMs = this.clock.nowMs() < this.slowUntilMs ? this.random() * this.slowMs : 0;
         if (waitMs > 0) this.clock.after(waitMs, () => answer(reply));
         else answer(reply);
@@ -140,12 +140,12 @@
     else answer({ status: 400, body: {} });
   }
 
-  private read(path: string): Reply {
+  private read(path: string): ClientResponse {
     const entry = this.keys.get(path);
     return entry ? { status: 200, body: { path, ...entry } } : { status: 404, body: { ring: this.ring } };
   }
 
-  private page(query: URLSearchParams): Reply {
+  private page(query: URLSearchParams): ClientResponse {
     const prefix = query.get("prefix") ?? "";
     const after = query.get("after") ?? "";
     const limit = Math.min(1000, Number(query.get("limit") ?? 1000));
@@ -176,20 +176,20 @@
     this.notify();
   }
 
-  private openLease(lifeMs: number): Reply {
+  private openLease(lifeMs: number): ClientResponse {
     const id = this.nextLease++;
     this.leases.set(id, { lifeMs, endMs: this.clock.nowMs() + lifeMs });
     return { status: 200, body: { tenure: id } };
   }
 
-  private renewOrEnd(method: string, id: number): Reply {
+  private renewOrEnd(method: string, id: number): ClientResponse {
     const lease = this.leases.get(id);
     if (method === "DELETE") this.endLease(id);
     else if (lease) lease.endMs = this.clock.nowMs() + lease.lifeMs;
     return lease ? { status: 200, body: {} } : { status: 404, body: {} };
   }
 
-  private commit(body: Record<string, unknown>): Reply {
+  private commit(body: Record<string, unknown>): ClientResponse {
     const guards = body.guards as { path: string; stamp: number }[];
     const changes = (body.then ?? []) as Change[];
     this.writes += changes.length;
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,4 +1,4 @@
-import type { HttpCaller, Reply } from "../../src/transport/httpClient.js";
+import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 import type { SimTuft } from "./cloud.js";
 import type { SimNet, SimRequest } from "./net.js";
@@ -164,7 +164,7 @@
     );
   }
 
-  private command(q: SimRequest): Reply {
+  private command(q: SimRequest): ClientResponse {
     this.checkLease();
     if (q.path !== "/commands") return { status: 200, body: this.report() };
     const b = q.body as Record<string, unknown>;
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,9 +1,9 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { encodePeer, PEER_VERSION } from "../../src/protocol/peers.js";
+import { encodePeerMessage, PEER_PROTOCOL_VERSION } from "../../src/protocol/peers/messages.js";
 import { Controller } from "../../src/controller/controller.js";
 import { operatorDefaults } from "../../src/settings/operator.js";
 import type { Platform } from "../../src/settings/platform.js";
-import type { HttpCaller, Reply } from "../../src/transport/httpClient.js";
+import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
 import { SimClock } from "./clock.js";
 import { CalmWatch } from "./calmWatch.js";
 import { SimCloud } from "./cloud.js";
@@ -43,7 +43,7 @@
   let link = to.links.get(life);
   if (!link) {
     link = to.controller.onLink();
-    link(encodePeer({ kind: "hello", from, version: PEER_VERSION }));
+    link(encodePeerMessage({ kind: "hello", from, version: PEER_PROTOCOL_VERSION }));
     to.links.set(life, link);
   }
   const reason = link(frame);
@@ -184,7 +184,7 @@
       {
         clock: {
           nowMs: () => this.clock.nowMs(),
-          today: () => this.clock.today(),
+          wallTime: () => this.clock.wallTime(),
           after: (delayMs, run) => {
             let cancelled = false;
             const timer = this.clock.after(delayMs, () => thawed(() => !cancelled && run()));
@@ -285,7 +285,7 @@
   }
 
   /** As a user, at a node that is up, or at this one. */
-  ask(method: string, path: string, body?: unknown, at?: string): Promise<Reply> {
+  ask(method: string, path: string, body?: unknown, at?: string): Promise<ClientResponse> {
     const up = this.names.filter((n) => this.nodes.get(n)!.alive);
     const node = at ?? up[Math.floor(this.random() * up.length)] ?? "n0";
     return this.net.caller("user:1", () => true).call(`${node}:80`, method, path, body, 5000);
@@ -438,7 +438,7 @@
     this.poll(job);
   }
 
-  private hear(job: SimJob, r: Reply, sentMs: number): void {
+  private hear(job: SimJob, r: ClientResponse, sentMs: number): void {
     const { phase } = r.body as { phase: string };
     // Asked before it was told, and only come in after: no older answer than that.
     if (sentMs < job.toldMs && job.told !== null && phase !== job.told) return;
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -21,7 +21,7 @@
 test("whatever arrives on a connection is answered, and the server goes on", async () => {
   const server = await startHttpServer({
     listen: "127.0.0.1:0",
-    maxBody: 100,
+    maxBodyBytes: 100,
     maxConnections: 50,
     handler: (request, reply) => {
       if (request.path === "/throw") throw new Error("on purpose");
--- a/test/leaseExpiry.test.ts
+++ b/test/leaseExpiry.test.ts
@@ -5,7 +5,7 @@
 import { AcknowledgementLimits } from "../src/coordination/heartbeats/acknowledgementLimits.js";
 import { ConfirmedCancellations } from "../src/coordination/heartbeats/confirmedCancellations.js";
 import type { JobSpec } from "../src/protocol/model.js";
-import type { HeartbeatServerUpdate } from "../src/protocol/peers.js";
+import type { HeartbeatServerUpdate } from "../src/protocol/peers/messages.js";
 import { chooseServer } from "../src/coordination/heartbeats/workerBalancer.js";
 import {
   type GrantTerms,
--- a/test/peerFrames.test.ts
+++ b/test/peerFrames.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { decodePeer, encodePeer } from "../src/protocol/peers.js";
+import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers/messages.js";
 import { peerMessages } from "./fakes/peerMessages.js";
 
 /**
@@ -60,12 +60,12 @@
 test("each message is encoded as the golden frame of its name", () => {
   assert.deepEqual(Object.keys(GOLDEN_FRAMES), Object.keys(peerMessages));
   for (const [name, message] of Object.entries(peerMessages)) {
-    assert.equal(encodePeer(message).toString("hex"), GOLDEN_FRAMES[name]!.join(""), name);
+    assert.equal(encodePeerMessage(message).toString("hex"), GOLDEN_FRAMES[name]!.join(""), name);
   }
 });
 
 test("each golden frame is decoded to the message of its name", () => {
   for (const [name, hex] of Object.entries(GOLDEN_FRAMES)) {
-    assert.deepEqual(decodePeer(Buffer.from(hex.join(""), "hex")), peerMessages[name], name);
+    assert.deepEqual(decodePeerMessage(Buffer.from(hex.join(""), "hex")), peerMessages[name], name);
   }
 });
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -3,9 +3,13 @@
 import test from "node:test";
 import { isLateCopy, isUnchanged } from "../src/coordination/heartbeats/heartbeatServer.js";
 import type { Heartbeat } from "../src/protocol/model.js";
-import { encodePeer, PEER_VERSION, type PeerMessage } from "../src/protocol/peers.js";
+import {
+  encodePeerMessage,
+  PEER_PROTOCOL_VERSION,
+  type PeerMessage,
+} from "../src/protocol/peers/messages.js";
 import { systemClock } from "../src/transport/clock.js";
-import { frame, PeerLinks } from "../src/transport/peerLink.js";
+import { encodeFrame, PeerLinks } from "../src/transport/peerLinks.js";
 import { World } from "./fakes/world.js";
 
 test("a link whose frames are not in order is closed, with the reason, and changes nothing", async () => {
@@ -13,19 +17,27 @@
   await world.run(5);
   const follower = world.names.find((n) => n !== world.leader)!;
   const other = world.names.find((n) => n !== world.leader && n !== follower)!;
-  const hello = (from: string, version = PEER_VERSION): PeerMessage => ({ kind: "hello", from, version });
+  const hello = (from: string, version = PEER_PROTOCOL_VERSION): PeerMessage => ({
+    kind: "hello",
+    from,
+    version,
+  });
   // Were it taken, the follower would take its sender for the leader of a term far ahead.
   const usurp: PeerMessage = { kind: "term announcement", from: other, term: 900 };
   const cases: [string, Buffer[], RegExp][] = [
     ["rubbish", [Buffer.from("GET / HTTP/1.1")], /not a frame/],
-    ["no greeting", [encodePeer(usurp)], /no greeting/],
-    ["another version", [encodePeer(hello(other, PEER_VERSION + 1)), encodePeer(usurp)], /speaks version/],
-    ["nobody we know", [encodePeer(hello("mallory"))], /no peer/],
-    ["in another's name", [encodePeer(hello(world.leader!)), encodePeer(usurp)], /speaks for/],
-    ["cut short", [encodePeer(hello(other)), encodePeer(usurp).subarray(0, 8)], /not a frame/],
+    ["no greeting", [encodePeerMessage(usurp)], /no greeting/],
+    [
+      "another version",
+      [encodePeerMessage(hello(other, PEER_PROTOCOL_VERSION + 1)), encodePeerMessage(usurp)],
+      /speaks version/,
+    ],
+    ["nobody we know", [encodePeerMessage(hello("mallory"))], /no peer/],
+    ["in another's name", [encodePeerMessage(hello(world.leader!)), encodePeerMessage(usurp)], /speaks for/],
+    ["cut short", [encodePeerMessage(hello(other)), encodePeerMessage(usurp).subarray(0, 8)], /not a frame/],
     [
       "more behind it",
-      [encodePeer(hello(other)), Buffer.concat([encodePeer(usurp), Buffer.alloc(1)])],
+      [encodePeerMessage(hello(other)), Buffer.concat([encodePeerMessage(usurp), Buffer.alloc(1)])],
       /not a frame/,
     ],
   ];
@@ -67,8 +79,8 @@
       socket.on("error", () => undefined);
       socket.on("close", () => resolve());
     });
-  await send(frame(Buffer.from("good")));
-  await send(frame(Buffer.from("evil")));
+  await send(encodeFrame(Buffer.from("good")));
+  await send(encodeFrame(Buffer.from("evil")));
   await send(Buffer.from([0xff, 0xff, 0xff, 0xff, 1]));
   links.close();
   assert.deepEqual(got, ["good"]);
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { rejectionReason } from "../src/coordination/admission/admission.js";
-import { decodePeer, encodePeer, type PeerMessage } from "../src/protocol/peers.js";
+import { decodePeerMessage, encodePeerMessage, type PeerMessage } from "../src/protocol/peers/messages.js";
 import type { Heartbeat } from "../src/protocol/model.js";
-import { decodeSubmission, encodeSubmission, route } from "../src/protocol/users.js";
+import { decodeSubmission, encodeSubmission, routeRequest } from "../src/protocol/users.js";
 import { decodeHeartbeat, encodeDirectCommands } from "../src/protocol/workers.js";
-import { FrameReader, frame } from "../src/transport/peerLink.js";
+import { FrameDecoder, encodeFrame } from "../src/transport/peerLinks.js";
 import {
   TASKS_PER_CHUNK,
   decodeChunk,
@@ -109,7 +109,7 @@
     ["POST", "/checkin", "report"],
     ["GET", "/", 404],
   ] as const) {
-    const got = route(method, path);
+    const got = routeRequest(method, path);
     assert.equal(got.call === "none" ? got.status : got.call, want, `${method} ${path}`);
   }
 });
@@ -159,8 +159,8 @@
 
 test("peers: every message survives the wire, cut anywhere; rubbish doesn't pass", () => {
   const messages: PeerMessage[] = [
-    { kind: "extension request", from: "n1", term: 7, ask: 2 ** 40 },
-    { kind: "extension vote", from: "n2", term: 7, ask: 1, yes: true },
+    { kind: "extension request", from: "n1", term: 7, requestId: 2 ** 40 },
+    { kind: "extension vote", from: "n2", term: 7, requestId: 1, isGranted: true },
     { kind: "term announcement", from: "n1", term: 8 },
     { kind: "term acknowledgement", from: "n1", term: 8 },
     { kind: "task counts", from: "n1", term: 8, jobs: [{ id: "job-1", done: 3, running: 2 }] },
@@ -225,27 +225,27 @@
       ],
     },
   ];
-  const stream = Buffer.concat(messages.map((m) => frame(encodePeer(m))));
+  const stream = Buffer.concat(messages.map((m) => encodeFrame(encodePeerMessage(m))));
   for (const step of [1, 3, 7, stream.length]) {
-    const reader = new FrameReader();
+    const reader = new FrameDecoder();
     const got: (PeerMessage | null)[] = [];
     for (let at = 0; at < stream.length; at += step) {
-      for (const f of reader.push(stream.subarray(at, at + step)) ?? []) got.push(decodePeer(f));
+      for (const f of reader.push(stream.subarray(at, at + step)) ?? []) got.push(decodePeerMessage(f));
     }
     assert.deepEqual(got, messages, `in pieces of ${step}`);
   }
-  assert.equal(new FrameReader().push(Buffer.from("GET / HTTP/1.1\r\n")), null);
+  assert.equal(new FrameDecoder().push(Buffer.from("GET / HTTP/1.1\r\n")), null);
   for (const message of messages) {
-    const whole = encodePeer(message);
+    const whole = encodePeerMessage(message);
     for (let cut = 0; cut < whole.length; cut++)
-      assert.equal(decodePeer(whole.subarray(0, cut)), null, message.kind);
+      assert.equal(decodePeerMessage(whole.subarray(0, cut)), null, message.kind);
     assert.equal(
-      decodePeer(Buffer.concat([whole, Buffer.from([0])])),
+      decodePeerMessage(Buffer.concat([whole, Buffer.from([0])])),
       null,
       `${message.kind} with more behind it`,
     );
   }
-  for (const bad of [Buffer.alloc(0), Buffer.from([99, 0, 0])]) assert.equal(decodePeer(bad), null);
+  for (const bad of [Buffer.alloc(0), Buffer.from([99, 0, 0])]) assert.equal(decodePeerMessage(bad), null);
 });
 
 test("records: a full chunk fits the smallest value limit and comes back as it was", () => {
