--- a/src/coordination/commands/commandDeliveries.ts
+++ b/src/coordination/commands/commandDeliveries.ts
@@ -67,7 +67,7 @@
   }
 
   /** The delivery to that machine is back, or given up. */
-  finished(machine: string): void {
+  markFinished(machine: string): void {
     this.underWay.delete(machine);
   }
 
--- a/src/coordination/heartbeats/acknowledgementLimits.ts
+++ b/src/coordination/heartbeats/acknowledgementLimits.ts
@@ -1,7 +1,7 @@
 import type { Job, Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import { acknowledgementLimitMs } from "../term/acknowledgementLimit.js";
-import { GRANT_MS } from "./heartbeatServerRegistry.js";
+import { GRANT_DURATION_MS } from "./heartbeatServerRegistry.js";
 
 /** What the leader and those under its grants may acknowledge, by what it knows of cancellations (`ackLimitMs`). */
 export class AcknowledgementLimits {
@@ -34,7 +34,7 @@
     const quarantined: string[] = [];
     for (const [machine, limitMs] of limits) {
       // Whoever has a grant may use it to its end without hearing of this.
-      if (nowMs + GRANT_MS + QUARANTINE_AHEAD_MS >= limitMs) {
+      if (nowMs + GRANT_DURATION_MS + QUARANTINE_AHEAD_MS >= limitMs) {
         quarantined.push(machine.name);
         if (!this.quarantined.includes(machine.name))
           log.info(`${machine.name}: a cancelled task stays, left to its lease`);
--- a/src/coordination/heartbeats/confirmedCancellations.ts
+++ b/src/coordination/heartbeats/confirmedCancellations.ts
@@ -45,7 +45,7 @@
     this.acknowledgedSeq = 0;
   }
 
-  acknowledgedUpTo(seq: number): void {
+  acknowledgeUpTo(seq: number): void {
     this.acknowledgedSeq = Math.max(this.acknowledgedSeq, seq);
   }
 
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -52,7 +52,7 @@
   }
 
   /** A grant in answer to what another controller has told of its workers, if it may have one. */
-  answer(update: HeartbeatServerUpdate, nowMs: number): void {
+  issueGrant(update: HeartbeatServerUpdate, nowMs: number): void {
     const { servers, limits, lease, stateStore } = this.context;
     const grant = servers.grant(update, {
       self: this.ownLoad(),
@@ -97,7 +97,7 @@
 
   /** Tells the heartbeat server beside us who serves workers. */
   publishServers(nowMs: number): void {
-    this.context.onServers(this.context.servers.servers(this.ownLoad(), nowMs));
+    this.context.onServers(this.context.servers.activeServers(this.ownLoad(), nowMs));
   }
 
   /** How long a controller may keep that zone's workers alive if it is cut off with them from now on; 0: not at all. */
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -42,12 +42,12 @@
   clock: Clock;
   heartbeatS: number;
   /** Cancellations told longer ago than this concern nobody any more. */
-  keepCancellationsMs: number;
+  cancellationRetentionMs: number;
   /** To the leader, whoever that is; true when it went out. */
-  toLeader: (leader: string, update: HeartbeatServerUpdate) => void;
-  toNeighbour: (node: string, message: PeerMessage) => void;
+  sendToLeader: (leader: string, update: HeartbeatServerUpdate) => void;
+  sendToNeighbour: (node: string, message: PeerMessage) => void;
   /** To the leader beside us, while it leads. */
-  toLocalLeader: (update: HeartbeatServerUpdate) => void;
+  sendToLocalLeader: (update: HeartbeatServerUpdate) => void;
   /** For the first time in this process, reports may be acknowledged. */
   onFirstGrant: () => void;
   /** A worker has seen the token of a later term. */
@@ -117,7 +117,7 @@
 
   constructor(private readonly options: HeartbeatServerOptions) {
     super("heartbeat server");
-    this.confirmedCancellations = new ConfirmedCancellations(options.keepCancellationsMs);
+    this.confirmedCancellations = new ConfirmedCancellations(options.cancellationRetentionMs);
     this.balancer = new WorkerBalancer(options.node, options.zones);
     this.neighbours = [...options.zones]
       .filter(([node, zone]) => node !== options.node && zone === options.zone)
@@ -221,7 +221,7 @@
     this.limitMs = limits.untilMs;
     this.zoneLeaseUntilMs = Math.max(this.zoneLeaseUntilMs, limits.zoneLeaseUntilMs);
     this.quarantined = new Set(limits.quarantined);
-    this.confirmedCancellations.acknowledgedUpTo(limits.cancellationSeq);
+    this.confirmedCancellations.acknowledgeUpTo(limits.cancellationSeq);
     this.noteFirstGrant();
   }
 
@@ -269,7 +269,7 @@
         grant.requestedAtMs + grant.zoneDurationMs * (1 - 2 * CLOCK_DRIFT),
       );
     this.lastGrantIssuedAtMs = Math.max(this.lastGrantIssuedAtMs, grant.issuedAtMs);
-    this.confirmedCancellations.acknowledgedUpTo(grant.cancellationSeq);
+    this.confirmedCancellations.acknowledgeUpTo(grant.cancellationSeq);
     this.quarantined = new Set(grant.quarantined);
     this.balancer.setServers(grant.servers);
     this.noteFirstGrant();
@@ -398,8 +398,8 @@
         heartbeats: part,
         ...(last ? cancellations : { cancellations: [], cancellationSeq: 0, cancellationsComplete: false }),
       };
-      if (this.lease) this.options.toLocalLeader(update);
-      else if (this.leader !== null) this.options.toLeader(this.leader, update);
+      if (this.lease) this.options.sendToLocalLeader(update);
+      else if (this.leader !== null) this.options.sendToLeader(this.leader, update);
     });
   }
 
@@ -417,7 +417,7 @@
     if (!this.lease) this.flush();
     if (now >= this.untilMs() && now < this.zoneLeaseUntilMs) {
       for (const node of this.neighbours)
-        this.options.toNeighbour(node, { kind: "isolated", from: this.options.node, term: this.term });
+        this.options.sendToNeighbour(node, { kind: "isolated", from: this.options.node, term: this.term });
     }
   }
 }
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -3,7 +3,7 @@
 import type { HeartbeatServerFacts } from "../term/leaseProofs.js";
 
 /** How long a controller may acknowledge reports without hearing from the leader again. */
-export const GRANT_MS = 2000;
+export const GRANT_DURATION_MS = 2000;
 const MIN_GAP_MS = 250;
 
 /** What a grant may allow, as the leader stands at that moment. */
@@ -54,7 +54,7 @@
   ) {}
 
   /** What came in, in its order; a gap in it makes everything before this moment unknown. */
-  received(update: HeartbeatServerUpdate, nowMs: number): void {
+  applyUpdate(update: HeartbeatServerUpdate, nowMs: number): void {
     let record = this.records.get(update.from);
     if (!record) {
       record = {
@@ -134,7 +134,7 @@
   grant(update: HeartbeatServerUpdate, terms: GrantTerms): Grant | null {
     const { self, nowMs, acknowledgeUntilMs, stateStoreReachable, zoneDurationMs, quarantined } = terms;
     const record = this.records.get(update.from);
-    const durationMs = Math.floor(Math.min(GRANT_MS, acknowledgeUntilMs - nowMs));
+    const durationMs = Math.floor(Math.min(GRANT_DURATION_MS, acknowledgeUntilMs - nowMs));
     if (!record || durationMs <= 0 || nowMs - record.grantedMs < MIN_GAP_MS) return null;
     record.grantedMs = nowMs;
     // It counts from when it asked, which was before now.
@@ -158,12 +158,12 @@
       resync,
       cancellationSeq: record.cancellationSeq,
       quarantined,
-      servers: this.servers(self, nowMs),
+      servers: this.activeServers(self, nowMs),
     };
   }
 
   /** Who serves workers at present, and how many. */
-  servers(self: Grant["servers"][number], nowMs: number): Grant["servers"] {
+  activeServers(self: Grant["servers"][number], nowMs: number): Grant["servers"] {
     const servers = [{ ...self }];
     for (const [node, record] of this.records) {
       if (record.grantUntilMs > nowMs) servers.push({ node, machines: record.machines, lagMs: record.lagMs });
@@ -180,7 +180,7 @@
    * What counts for a machine of that zone (not known: of any). Who has not been heard in this term may still use what
    * an earlier leader gave it, which had ended its own giving by `othersSilentFromMs`.
    */
-  *facts(zone: string, othersSilentFromMs: number): Iterable<HeartbeatServerFacts> {
+  *acknowledgementFacts(zone: string, othersSilentFromMs: number): Iterable<HeartbeatServerFacts> {
     for (const [node, serverZone] of this.zones) {
       const record = this.records.get(node);
       const own = zone === "" || serverZone === zone;
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -83,14 +83,14 @@
     const { lease, servers, grants, heartbeats } = this.parts;
     const nowMs = this.options.clock.nowMs();
     const isLocal = update.from === this.options.platform.node;
-    if (!isLocal) servers.received(update, nowMs);
+    if (!isLocal) servers.applyUpdate(update, nowMs);
     // Before the records are read we don't know which of them mean anything here; they are sent again until then.
     if (lease.isLoaded) grants.applyCancellations(update, nowMs);
     for (const unchanged of update.unchanged)
       if (!heartbeats.receiveUnchanged(unchanged, update.from, nowMs))
         servers.requestResync(update.from, nowMs);
     for (const received of update.heartbeats) heartbeats.receive(received, update.from, nowMs);
-    if (!isLocal) grants.answer(update, nowMs);
+    if (!isLocal) grants.issueGrant(update, nowMs);
   }
 
   /** Machine types have come; `fromCloud`: from the cloud itself, `changed`: more than prices is new. */
--- a/src/coordination/machines/deliveryResults.ts
+++ b/src/coordination/machines/deliveryResults.ts
@@ -31,7 +31,7 @@
     const { lease, machines, deliveries, heartbeats } = this.context;
     const machine = machines.get(result.machine);
     if (!machine) return;
-    deliveries.finished(machine.name);
+    deliveries.markFinished(machine.name);
     // A delivery of an earlier term of ours may come back late: its token tells.
     if (result.fencingToken < firstFencingToken(lease.term)) return;
     const raiseToken = deliveries.takeWaiting(machine.name);
@@ -69,7 +69,7 @@
       for (const attempt of machine.attempts)
         if (attempt.phase === null && attempt.sentToken === fencingToken) attempt.sentMs = -Infinity;
     }
-    if (fresh) heartbeats.conclude(machine);
+    if (fresh) heartbeats.reconcileAndSend(machine);
     else deliveries.sendCommands(machine, raiseToken);
   }
 
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -47,7 +47,7 @@
     noteAcknowledged(machine, heartbeat, server, nowMs, nowMs - ageMs);
     // A machine that we have waited for, and its very first heartbeat: nothing older can be on its way.
     if (isFirst && machine.createdMs >= lease.startedMs) machine.requiredToken = 0;
-    if (lease.isLoaded && fresh) this.conclude(machine);
+    if (lease.isLoaded && fresh) this.reconcileAndSend(machine);
   }
 
   /** A heartbeat that says nothing new; false when it is of an epoch that is not known here, so that it must be sent in full. */
@@ -68,7 +68,7 @@
   }
 
   /** Reconciles a machine after a fresh heartbeat, and sends what is due. */
-  conclude(machine: Machine): void {
+  reconcileAndSend(machine: Machine): void {
     const raiseToken = this.context.reconciliation.reconcile(machine);
     if (machine.interruptionNoticeIsNew) {
       machine.interruptionNoticeIsNew = false;
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -17,7 +17,7 @@
     // Nobody of an earlier term can have renewed it after that.
     const lastAcknowledgedMs = Math.max(machine.lastAckMs, earlierLeadersSilentFromMs);
     if (nowMs < leaseExpiredFromMs(lastAcknowledgedMs, this.leaseS)) return false;
-    const facts = this.servers.facts(machine.zone, earlierLeadersSilentFromMs);
+    const facts = this.servers.acknowledgementFacts(machine.zone, earlierLeadersSilentFromMs);
     return nowMs >= leaseExpiredEverywhereFromMs(lastAcknowledgedMs, facts, this.leaseS);
   }
 }
--- /dev/null
+++ b/test/stateStoreOutage.test.ts
@@ -0,0 +1,42 @@
+import assert from "node:assert/strict";
+import test from "node:test";
+import { World } from "./fakes/world.js";
+
+test("an outage of the state service, longer than the workers' leases, costs no running task", async () => {
+  const world = new World(78);
+  await world.run(3);
+  const fields = { form: "standing", rank: "prod", spores: 2, windfall: false, scatter: true };
+  world.submit({ ref: "job-000001", ...fields }, null);
+  await world.run(20);
+  const before = world.live("job-000001").map((x) => `${x.w.tuft.ref} ${x.task.sprout} ${x.task.phase}`);
+  assert.equal(before.length, 2);
+  world.state.outage(20_000);
+  await world.run(30);
+  const after = world.live("job-000001").map((x) => `${x.w.tuft.ref} ${x.task.sprout} ${x.task.phase}`);
+  assert.deepEqual(after, before);
+  assert.deepEqual(world.broken, []);
+});
+
+/** An outage made every node call itself unready for as long as its leader still held; the balancer left all of them out. */
+test("in an outage every node stays ready; one that is refused alone does not", async () => {
+  const world = new World(79, { size: 5 });
+  await world.run(5);
+  const status = (): Promise<number[]> => {
+    const all = Promise.all(world.names.map((n) => world.ask("GET", "/ready", undefined, n)));
+    return world.run(0.2).then(async () => (await all).map((r) => r.status));
+  };
+  assert.deepEqual(await status(), [200, 200, 200, 200, 200]);
+  world.state.outage(12_000);
+  for (const s of [1, 2, 2, 3, 3]) {
+    await world.run(s);
+    assert.deepEqual(await status(), [200, 200, 200, 200, 200]);
+  }
+  await world.run(10);
+  const alone = world.names.find((n) => n !== world.leader)!;
+  world.state.refuse(`${alone}:80`, 15_000);
+  await world.run(8);
+  assert.deepEqual(
+    (await status()).map((s, i) => [world.names[i], s]),
+    world.names.map((n) => [n, n === alone ? 503 : 200]),
+  );
+});
