--- a/src/bookkeeping/imageCache.ts
+++ b/src/bookkeeping/imageCache.ts
@@ -15,12 +15,12 @@
   }
 
   /** Images that need no fetch. */
-  *ready(): Iterable<string> {
+  *fetchedImages(): Iterable<string> {
     for (const image of this.sizes.keys()) if (!this.fetches.has(image)) yield image;
   }
 
   /** Images on their way. */
-  fetching(): Iterable<string> {
+  fetchingImages(): Iterable<string> {
     return this.fetches.keys();
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** The fetch is over; false when there was none. */
-  fetched(image: string): boolean {
+  finishFetch(image: string): boolean {
     return this.fetches.delete(image);
   }
 
--- a/src/bookkeeping/quotaUsage.ts
+++ b/src/bookkeeping/quotaUsage.ts
@@ -24,7 +24,7 @@
     this.teams = new Map(teams.map((t) => [t.name, t]));
   }
 
-  of(team: string): TeamAmount {
+  usedBy(team: string): TeamAmount {
     let used = this.used.get(team);
     if (!used) {
       used = { cpus: 0, gpus: 0 };
@@ -34,17 +34,17 @@
   }
 
   add(spec: JobSpec, tasks: number): void {
-    addTasks(this.of(spec.team), spec, tasks);
+    addTasks(this.usedBy(spec.team), spec, tasks);
   }
 
   /** How many more tasks of this kind the team's limit allows, with what a plan takes already. */
-  room(spec: JobSpec, planned: TeamAmount = { cpus: 0, gpus: 0 }): number {
-    const held = this.of(spec.team);
-    return this.fitting(spec, { cpus: held.cpus + planned.cpus, gpus: held.gpus + planned.gpus });
+  tasksAllowed(spec: JobSpec, planned: TeamAmount = { cpus: 0, gpus: 0 }): number {
+    const held = this.usedBy(spec.team);
+    return this.tasksAllowedBeside(spec, { cpus: held.cpus + planned.cpus, gpus: held.gpus + planned.gpus });
   }
 
   /** How many tasks of this kind the team's limit allows beside that. */
-  fitting(spec: JobSpec, used: TeamAmount): number {
+  tasksAllowedBeside(spec: JobSpec, used: TeamAmount): number {
     const team = this.teams.get(spec.team);
     if (!team) return 0;
     const cpus = spec.cpus > 0 ? Math.floor((team.maxCpus - used.cpus + SLACK) / spec.cpus) : Infinity;
--- a/src/bookkeeping/records.ts
+++ b/src/bookkeeping/records.ts
@@ -59,18 +59,18 @@
 }
 
 export interface FinalRecord {
-  cancelled: boolean;
+  isCancelled: boolean;
   tasks: number;
 }
 
 export function encodeFinal(final: FinalRecord): unknown {
-  return { x: final.cancelled, n: final.tasks };
+  return { x: final.isCancelled, n: final.tasks };
 }
 
 export function decodeFinal(value: unknown): FinalRecord | null {
   const o = asObject(value);
   const tasks = asNonNegativeInteger(o?.n);
-  return o && tasks !== null ? { cancelled: o.x === true, tasks } : null;
+  return o && tasks !== null ? { isCancelled: o.x === true, tasks } : null;
 }
 
 export interface ChunkRecord {
--- a/src/bookkeeping/stateStoreClient.ts
+++ b/src/bookkeeping/stateStoreClient.ts
@@ -59,7 +59,7 @@
     this.writes = new TokenBucket(limits.writeRps * writes, limits.writeRps * writes, now);
   }
 
-  writeRoom(): number {
+  availableWrites(): number {
     return this.writes.available(this.clock.nowMs());
   }
 
--- a/src/bookkeeping/taskChunk.ts
+++ b/src/bookkeeping/taskChunk.ts
@@ -7,13 +7,13 @@
   /** One bit for each task that is done. */
   readonly done = new Uint8Array(BITMAP_BYTES);
   /** What of `done` is certainly in the state store: only that may be reaped. */
-  durableDone: Uint8Array = new Uint8Array(BITMAP_BYTES);
+  durablyDone: Uint8Array = new Uint8Array(BITMAP_BYTES);
   /** Version of its key; 0: not written yet. */
   version = 0;
   /** Something has changed since it was written. */
-  dirty = false;
+  isDirty = false;
   /** Attempts that are planned but not durable make it urgent. */
-  urgent = false;
+  isUrgent = false;
   /** Attempts by their task. */
   readonly attempts = new Map<number, Attempt>();
 
@@ -29,19 +29,19 @@
   }
 
   isDurablyDone(task: number): boolean {
-    return isSet(this.durableDone, task % TASKS_PER_CHUNK);
+    return isSet(this.durablyDone, task % TASKS_PER_CHUNK);
   }
 
   markDone(task: number): void {
     const bit = task % TASKS_PER_CHUNK;
     this.done[bit >> 3]! |= 1 << (bit & 7);
-    this.dirty = true;
+    this.isDirty = true;
   }
 
   /** Takes over what the state store holds; returns how many tasks are done. */
   load(done: Uint8Array, version: number): number {
     this.done.set(done);
-    this.durableDone.set(done);
+    this.durablyDone.set(done);
     this.version = version;
     return countBits(done);
   }
--- a/src/bookkeeping/transaction.ts
+++ b/src/bookkeeping/transaction.ts
@@ -12,10 +12,10 @@
 }
 
 export interface Transaction {
-  guards: VersionCondition[];
+  conditions: VersionCondition[];
   changes: Change[];
   parts: TransactionPart[];
-  garbage: string[];
+  obsoleteKeys: string[];
   /** Set when a round's moves, or the machine types, go along. */
   moves?: unknown;
   types?: boolean;
@@ -29,7 +29,7 @@
 }
 
 /** A key that no live job needs any more. */
-export type Garbage = Map<string, number>;
+export type ObsoleteKeys = Map<string, number>;
 
 /**
  * Puts what waits to be written into one transaction, the most pressing first. Pure.
@@ -40,30 +40,30 @@
  */
 export function composeTransaction(
   jobs: Iterable<Job>,
-  garbage: Garbage,
+  garbage: ObsoleteKeys,
   termVersion: number,
   limits: TransactionLimits,
 ): Transaction {
   const transaction: Transaction = {
-    guards: [{ key: keys.term, version: termVersion }],
+    conditions: [{ key: keys.term, version: termVersion }],
     changes: [],
     parts: [],
-    garbage: [],
+    obsoleteKeys: [],
   };
   let bytes = 256;
   const fits = (changes: number, size: number): boolean =>
     transaction.changes.length + changes <= limits.changes &&
     bytes + size <= limits.bytes &&
-    transaction.guards.length + 2 + changes <= limits.changes * 4;
+    transaction.conditions.length + 2 + changes <= limits.changes * 4;
 
   const addChunk = (job: Job, chunk: Chunk): boolean => {
     const value = encodeChunk(chunkRecord(chunk));
     const size = JSON.stringify(value).length + 200;
     if (!fits(1, size)) return false;
     const head = keys.head(job.id);
-    if (!transaction.guards.some((g) => g.key === head))
-      transaction.guards.push({ key: head, version: job.headVersion });
-    transaction.guards.push({ key: keys.chunk(job.id, chunk.index), version: chunk.version });
+    if (!transaction.conditions.some((g) => g.key === head))
+      transaction.conditions.push({ key: head, version: job.headVersion });
+    transaction.conditions.push({ key: keys.chunk(job.id, chunk.index), version: chunk.version });
     transaction.changes.push({ put: keys.chunk(job.id, chunk.index), value });
     transaction.parts.push({ job, chunk, attempts: [...chunk.attempts.values()], done: chunk.done.slice() });
     bytes += size;
@@ -79,8 +79,8 @@
       continue;
     }
     for (const chunk of job.chunks.values()) {
-      if (chunk.urgent) urgent.push([job, chunk]);
-      else if (chunk.dirty) lazy.push([job, chunk]);
+      if (chunk.isUrgent) urgent.push([job, chunk]);
+      else if (chunk.isDirty) lazy.push([job, chunk]);
     }
   }
   urgent.sort((a, b) => b[0].spec.priority - a[0].spec.priority);
@@ -90,16 +90,19 @@
     // Few chunks go in the same transaction; those of a huge job are swept up afterwards.
     const now = written.length <= 4 ? written : [];
     if (!fits(2 + now.length, 400)) break;
-    transaction.guards.push(
+    transaction.conditions.push(
       { key: keys.head(job.id), version: job.headVersion },
       { key: keys.final(job.id), version: 0 },
     );
     transaction.changes.push(
-      { put: keys.final(job.id), value: encodeFinal({ cancelled: job.cancelled, tasks: job.spec.tasks }) },
+      {
+        put: keys.final(job.id),
+        value: encodeFinal({ isCancelled: job.isCancelled, tasks: job.spec.tasks }),
+      },
       { drop: keys.head(job.id) },
     );
     for (const chunk of now) {
-      transaction.guards.push({ key: keys.chunk(job.id, chunk.index), version: chunk.version });
+      transaction.conditions.push({ key: keys.chunk(job.id, chunk.index), version: chunk.version });
       transaction.changes.push({ drop: keys.chunk(job.id, chunk.index) });
     }
     transaction.parts.push({ job, chunk: null, attempts: [], done: null });
@@ -108,9 +111,9 @@
   for (const [job, chunk] of lazy.slice(0, limits.deferredChanges)) if (!addChunk(job, chunk)) break;
   for (const [key, version] of garbage) {
     if (transaction.changes.length >= Math.max(1, limits.changes >> 1) || !fits(1, 120)) break;
-    transaction.guards.push({ key, version });
+    transaction.conditions.push({ key, version });
     transaction.changes.push({ drop: key });
-    transaction.garbage.push(key);
+    transaction.obsoleteKeys.push(key);
   }
   return transaction;
 }
--- a/src/bookkeeping/workload.ts
+++ b/src/bookkeeping/workload.ts
@@ -15,9 +15,9 @@
   number: number;
   machine: Machine;
   /** Planned: not yet in the state service, so nothing may be sent. */
-  durable: boolean;
+  isDurable: boolean;
   /** Read from the state service by a new leader: its start may have been sent by another. */
-  inherited: boolean;
+  isInherited: boolean;
   /** Highest token that a start of it went out under; -1: not sent by this leader. */
   sentToken: number;
   sentEpoch: number;
@@ -48,11 +48,11 @@
   readonly submittedMs: number;
   /** Nothing of it is started before this, after failures. */
   notBeforeMs = 0;
-  errors = 0;
+  failureCount = 0;
   /** Machines on which it failed, ever. */
   readonly failedOn = new Set<string>();
   /** Machines on which it failed, and until when they are avoided. */
-  readonly avoid = new Map<string, number>();
+  readonly avoidedUntilMs = new Map<string, number>();
 
   constructor(
     readonly spec: JobSpec,
@@ -69,7 +69,7 @@
     return new Job(head.spec, head.acceptedAt, version, head.cancelledAt, bornMs);
   }
 
-  get cancelled(): boolean {
+  get isCancelled(): boolean {
     return this.cancelledAt !== null;
   }
 
@@ -116,7 +116,7 @@
   /** Over, and nothing of it can be anywhere: only then may it be moved to the final jobs. */
   get canFinalize(): boolean {
     // A gang's last members may still hold place and quota when its result is known: they are waited for.
-    return this.attempts.size === 0 && (this.cancelled || this.isComplete);
+    return this.attempts.size === 0 && (this.isCancelled || this.isComplete);
   }
 
   attach(attempt: Attempt): void {
@@ -131,7 +131,7 @@
     const chunk = this.chunkOf(attempt.task);
     if (chunk.attempts.get(attempt.task) === attempt) chunk.attempts.delete(attempt.task);
     this.attempts.delete(attempt);
-    chunk.dirty = true;
+    chunk.isDirty = true;
   }
 
   requeue(task: number): void {
@@ -140,8 +140,8 @@
   }
 
   /** Tasks that wait for a place. */
-  get pending(): number {
-    if (this.cancelled) return 0;
+  get pendingCount(): number {
+    if (this.isCancelled) return 0;
     return this.spec.tasks - this.doneCount - this.attempts.size;
   }
 
@@ -208,30 +208,30 @@
    */
   requiredToken: number;
   unreachableSinceMs = -Infinity;
-  probedMs = -Infinity;
+  lastProbeMs = -Infinity;
   /** When we last learned that a report of it was answered, or that it began a session; its lease began no later. */
-  lastAckMs = -Infinity;
+  lastAcknowledgedMs = -Infinity;
   lastContactMs: number;
   /** When a controller last acknowledged one of its reports: answers to commands renew no lease. */
   lastHeartbeatMs = -Infinity;
   /** Steady time at which the cloud takes it, when there is a notice. */
   interruptionAtMs: number | null = null;
-  interruptionNoticeIsNew = false;
+  hasNewInterruptionNotice = false;
   /** No new work; used when it is faulty or about to be given back. */
-  cordoned = false;
+  isCordoned = false;
   cordonReason = "";
   cordonUntilMs = Infinity;
   idleSinceMs: number | null;
   /** The cloud lists it as running, so it has come up once, though perhaps not for this leader. */
-  listedAsRunning = false;
+  isListedAsRunning = false;
   readonly attempts = new Set<Attempt>();
   /** Counts whatever changes its room or its images. */
   revision = 0;
-  reportedTasks: TaskStatus[] = [];
+  listedTasks: TaskStatus[] = [];
   readonly images = new ImageCache();
   readonly used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
   /** Failed starts in a row, by job. */
-  failures = new Map<string, number>();
+  consecutiveFailures = new Map<string, number>();
 
   constructor(
     readonly name: string,
@@ -290,12 +290,12 @@
   }
 
   /** The image has been fetched. */
-  imageReady(image: string): void {
-    if (this.images.fetched(image)) this.revision++;
+  markImageFetched(image: string): void {
+    if (this.images.finishFetch(image)) this.revision++;
   }
 
   /** No task waits for the image any more: the worker has given the fetch up. */
-  imageFetchAbandoned(image: string): void {
+  abandonImageFetch(image: string): void {
     this.images.abandonFetch(image);
     this.revision++;
   }
--- a/src/coordination/admission/admission.ts
+++ b/src/coordination/admission/admission.ts
@@ -219,7 +219,10 @@
     if (known === "absent") return { status: 404, body: { error: "no such job" } };
     if ("final" in known) {
       const { final } = known;
-      return { status: 200, body: encodeJobStatus(id, phaseOf(final), final.cancelled ? 0 : final.tasks, 0) };
+      return {
+        status: 200,
+        body: encodeJobStatus(id, phaseOf(final), final.isCancelled ? 0 : final.tasks, 0),
+      };
     }
     const count = this.counts.get(id) ?? { done: 0, running: 0 };
     const phase = this.headPhase(known.head);
@@ -258,5 +261,5 @@
 }
 
 function phaseOf(final: FinalRecord): JobPhase {
-  return final.cancelled ? "cancelled" : "done";
+  return final.isCancelled ? "cancelled" : "done";
 }
--- a/src/coordination/commands/commandBatch.ts
+++ b/src/coordination/commands/commandBatch.ts
@@ -25,7 +25,7 @@
 ): CommandBatch {
   const commands: Command[] = [];
   let reaps = false;
-  for (const t of machine.reportedTasks) {
+  for (const t of machine.listedTasks) {
     const { jobId, task, attempt } = t;
     const job = jobs.get(jobId);
     const a = job?.attemptOf(task);
@@ -37,12 +37,12 @@
       continue;
     }
     // A result is reaped only once it is durable.
-    if (t.cause === "done" && job && !job.cancelled && !job.isDurablyDone(task)) continue;
+    if (t.cause === "done" && job && !job.isCancelled && !job.isDurablyDone(task)) continue;
     commands.push({ op: "reap", jobId, task, attempt });
     reaps = true;
   }
   for (const a of machine.attempts) {
-    if (a.stop && (a.sentToken >= 0 || a.inherited)) {
+    if (a.stop && (a.sentToken >= 0 || a.isInherited)) {
       if (a.stop.sent && nowMs - a.stop.lastSentMs < REPEAT_STOP_MS) continue;
       a.stop.sent = true;
       a.stop.lastSentMs = nowMs;
@@ -54,7 +54,7 @@
   if (options.starts) {
     for (const a of machine.attempts) {
       // Intent before command: only what is durable is sent.
-      if (!a.durable || a.stop || a.phase !== null || a.inherited) continue;
+      if (!a.isDurable || a.stop || a.phase !== null || a.isInherited) continue;
       if (a.sentToken >= 0 && (a.sentEpoch !== machine.epoch || nowMs - a.sentMs < REPEAT_START_MS)) continue;
       a.sentToken = machine.fencingToken;
       a.sentEpoch = machine.epoch;
--- a/src/coordination/commands/commandDeliveries.ts
+++ b/src/coordination/commands/commandDeliveries.ts
@@ -48,9 +48,9 @@
     if (!lease.isLoaded || nowMs >= lease.acknowledgeUntilMs) return;
     const starts = lease.mayWrite() && machine.isReachable;
     const batch = composeCommandBatch(machine, jobs.byId, nowMs, { starts, raise: raiseToken });
-    const probe = !machine.isReachable && nowMs - machine.probedMs > PROBE_MS;
+    const probe = !machine.isReachable && nowMs - machine.lastProbeMs > PROBE_MS;
     if (!raiseToken && !probe && !isWorthSending(batch, machine, nowMs)) return;
-    machine.probedMs = nowMs;
+    machine.lastProbeMs = nowMs;
     this.send(machine, batch, nowMs);
   }
 
@@ -95,5 +95,5 @@
 /** Ended tasks can be reaped together with what comes later. */
 function isWorthSending(batch: CommandBatch, machine: Machine, nowMs: number): boolean {
   if (batch.commands.length === 0) return false;
-  return nowMs - machine.probedMs >= REAP_MS || batch.commands.some((command) => command.op !== "reap");
+  return nowMs - machine.lastProbeMs >= REAP_MS || batch.commands.some((command) => command.op !== "reap");
 }
--- a/src/coordination/consolidation/consolidationRounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -51,17 +51,14 @@
       if (machine.state !== "up" || !machine.type) continue;
       const requestedLoad = loadOf(machine.used, machine.type);
       // Most machines are in the inner rings and use what they were asked to: neither squeeze nor release looks there.
-      if (
-        loadLevelOf(requestedLoad, degrad) !== "low" &&
-        machine.reportedTasks.length <= machine.attempts.size
-      )
+      if (loadLevelOf(requestedLoad, degrad) !== "low" && machine.listedTasks.length <= machine.attempts.size)
         continue;
       // A late report would move tasks that have already left.
       const fresh = now - machine.lastContactMs < this.context.heartbeatS * 1500;
       const tasks: LoadedTask[] = [];
       let whole = fresh;
       const measuredUse = { cpus: 0, gpus: 0, memoryGb: 0 };
-      for (const task of machine.reportedTasks) {
+      for (const task of machine.listedTasks) {
         const spec = this.context.jobs.get(task.jobId)?.spec;
         if (task.phase === "exited" || !spec) continue;
         measuredUse.cpus += spec.cpus;
@@ -95,7 +92,7 @@
         name: machine.name,
         capacity: machine.type,
         tasks,
-        acceptsTasks: whole && !machine.cordoned && machine.interruptionAtMs === null,
+        acceptsTasks: whole && !machine.isCordoned && machine.interruptionAtMs === null,
         measuredLoad: loadOf(measuredUse, machine.type),
         requestedLoad,
       });
@@ -115,7 +112,7 @@
     const { spec } = attempt.job;
     if (
       !machine?.type ||
-      machine.cordoned ||
+      machine.isCordoned ||
       !allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)
     )
       return false;
@@ -135,7 +132,7 @@
       if (!attempt || attempt.stop || !attempt.machine.attempts.has(attempt)) continue;
       log.info(`moving ${attempt.job.id}/${attempt.task} from ${mv.from} to ${mv.to}`);
       this.preferredMachines.set(attempt.job.id, { machine: mv.to, untilMs: now + 5000 });
-      attempt.job.avoid.set(mv.from, now + this.context.operator.elapseS * 2000);
+      attempt.job.avoidedUntilMs.set(mv.from, now + this.context.operator.elapseS * 2000);
       this.context.attempts.stopGracefully(attempt);
     }
     this.attemptsToMove.clear();
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -75,7 +75,7 @@
     else this.context.servers.applyCancellations(update, nowMs);
     for (const { id, cancelledAt } of update.cancellations) {
       const job = this.context.jobs.get(id);
-      if (job && !job.cancelled) this.context.attempts.cancelJob(job, cancelledAt);
+      if (job && !job.isCancelled) this.context.attempts.cancelJob(job, cancelledAt);
     }
   }
 
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -122,7 +122,7 @@
     supervisor.superviseAll(nowMs);
     if (nowMs - rounds.lastRoundMs > operator.elapseS * 1000) rounds.runRound(nowMs);
     cycles.requestCycle();
-    if (jobRecords.garbage.size > 0) writes.requestWrite(DEFERRED_WRITE_MS);
+    if (jobRecords.obsoleteKeys.size > 0) writes.requestWrite(DEFERRED_WRITE_MS);
   }
 
   private askForTypes(nowMs: number): void {
--- a/src/coordination/machines/cordon.ts
+++ b/src/coordination/machines/cordon.ts
@@ -28,10 +28,10 @@
    * new work; what runs there already goes on, for such a machine fails only what it starts.
    */
   cordonIfFaulty(machine: Machine): void {
-    if (machine.cordoned || !machineLooksFaulty(machine, this.context.jobs.byId)) return;
+    if (machine.isCordoned || !machineLooksFaulty(machine, this.context.jobs.byId)) return;
     cordon(machine, "fails what it starts");
     machine.cordonUntilMs = this.context.clock.nowMs() + FAULTY_MS;
-    machine.failures.clear();
+    machine.consecutiveFailures.clear();
     for (const attempt of [...machine.attempts])
       if (attempt.phase === null || attempt.phase === "fetching")
         this.context.attempts.stopGracefully(attempt);
@@ -58,12 +58,12 @@
 
 /** Ends a cordon whose time is over. */
 export function liftExpiredCordon(machine: Machine, nowMs: number): void {
-  if (machine.cordoned && nowMs > machine.cordonUntilMs) machine.cordoned = false;
+  if (machine.isCordoned && nowMs > machine.cordonUntilMs) machine.isCordoned = false;
 }
 
 function cordon(machine: Machine, reason: string): void {
-  if (machine.cordoned) return;
-  machine.cordoned = true;
+  if (machine.isCordoned) return;
+  machine.isCordoned = true;
   machine.cordonReason = reason;
   log.info(`${machine.name}: cordoned, no new work: ${reason}`);
 }
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -41,7 +41,7 @@
     if (machines.isRemoved(heartbeat.machine)) return;
     const machine = machines.getOrCreate(heartbeat.machine, heartbeat.zone);
     // The answer it has just been given carries our token, and its next heartbeat shows it: no need to ask at once.
-    if (machine.heartbeatTick === 0) machine.probedMs = nowMs + this.context.heartbeatS * 1500 - PROBE_MS;
+    if (machine.heartbeatTick === 0) machine.lastProbeMs = nowMs + this.context.heartbeatS * 1500 - PROBE_MS;
     const isFirst = machine.state === "booting" && heartbeat.epoch === 1 && heartbeat.tick === 1;
     const fresh = this.apply(machine, heartbeat, nowMs);
     noteAcknowledged(machine, heartbeat, server, nowMs, nowMs - ageMs);
@@ -70,8 +70,8 @@
   /** Reconciles a machine after a fresh heartbeat, and sends what is due. */
   reconcileAndSend(machine: Machine): void {
     const raiseToken = this.context.reconciliation.reconcile(machine);
-    if (machine.interruptionNoticeIsNew) {
-      machine.interruptionNoticeIsNew = false;
+    if (machine.hasNewInterruptionNotice) {
+      machine.hasNewInterruptionNotice = false;
       this.context.cordon.drainBeforeInterruption(machine);
     }
     this.context.commands.sendCommands(machine, raiseToken);
@@ -90,7 +90,7 @@
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
     machine.type = this.context.estimates.typeNamed(heartbeat.type) ?? machine.type;
-    machine.reportedTasks = heartbeat.tasks;
+    machine.listedTasks = heartbeat.tasks;
     const wasUnusable =
       machine.state === "booting" || nowMs - machine.lastContactMs > this.context.suspectS * 1000;
     // Its idle time begins when it can be used (again): neither its boot nor its silence counts.
@@ -110,7 +110,7 @@
 
   private noteInterruption(machine: Machine, noticeS: number, nowMs: number): void {
     if (machine.interruptionAtMs === null) {
-      machine.interruptionNoticeIsNew = true;
+      machine.hasNewInterruptionNotice = true;
       this.context.estimates.recordSpotInterruption();
       log.info(`${machine.name}: will be taken in ${noticeS.toFixed(1)} s`);
     }
@@ -127,7 +127,7 @@
   }
   // An epoch's lease runs from its beginning, also when none of its heartbeats was answered yet. Counted from an older
   // answer, a task started in the new epoch looked gone while it ran (rule `ran_twice`, docs/incidents/overload.md).
-  machine.lastAckMs = Math.max(machine.lastAckMs, nowMs);
+  machine.lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, nowMs);
   machine.epoch = epoch;
 }
 
@@ -145,7 +145,7 @@
   machine.heartbeatEpoch = epoch;
   machine.heartbeatTick = tick;
   // It was acknowledged before now, and what it answers was sent before that.
-  machine.lastAckMs = nowMs;
+  machine.lastAcknowledgedMs = nowMs;
   machine.lastContactMs = Math.max(machine.lastContactMs, receivedMs);
   machine.lastHeartbeatMs = Math.max(machine.lastHeartbeatMs, receivedMs);
   machine.heartbeatServer = server;
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -15,7 +15,7 @@
   hasExpired(machine: Machine, nowMs: number): boolean {
     const { earlierLeadersSilentFromMs } = this.lease;
     // Nobody of an earlier term can have renewed it after that.
-    const lastAcknowledgedMs = Math.max(machine.lastAckMs, earlierLeadersSilentFromMs);
+    const lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, earlierLeadersSilentFromMs);
     if (nowMs < leaseExpiredFromMs(lastAcknowledgedMs, this.leaseS)) return false;
     const facts = this.servers.acknowledgementFacts(machine.zone, earlierLeadersSilentFromMs);
     return nowMs >= leaseExpiredEverywhereFromMs(lastAcknowledgedMs, facts, this.leaseS);
--- a/src/coordination/machines/machineSupervisor.ts
+++ b/src/coordination/machines/machineSupervisor.ts
@@ -87,7 +87,7 @@
       this.loseAttempts(machine);
     }
     // One that has come up for an earlier leader is not late but silent: cut off, say, and back in a while.
-    const wasUp = machine.attempts.size > 0 || machine.listedAsRunning;
+    const wasUp = machine.attempts.size > 0 || machine.isListedAsRunning;
     const sinceMs = wasUp ? Math.max(machine.createdMs, startedMs) : machine.createdMs;
     const isLate = nowMs - sinceMs > this.comesUpWithinS(machine, wasUp) * 1000;
     if (isLate && nowMs - startedMs > TAKEOVER_MS) this.context.scaleIn(machine, "never came up");
@@ -101,7 +101,7 @@
 
   private superviseUp(machine: Machine, counts: SilenceCounts, nowMs: number): void {
     const silentMs = nowMs - machine.lastContactMs;
-    const unacknowledged = nowMs - machine.lastAckMs > this.context.leaseS * 1000;
+    const unacknowledged = nowMs - machine.lastAcknowledgedMs > this.context.leaseS * 1000;
     if (machine.attempts.size > 0 && unacknowledged && this.context.leases.hasExpired(machine, nowMs)) {
       log.info(`${machine.name}: ${silentFor(silentMs)}, its lease has expired`);
       this.loseAttempts(machine);
@@ -147,7 +147,7 @@
   /** Why a machine without work is given back; null: it is kept. */
   private unusedReason(machine: Machine, silentMs: number, nowMs: number): string | null {
     if (machine.attempts.size > 0 || machine.idleSinceMs === null) return null;
-    if (machine.cordoned) return machine.cordonReason;
+    if (machine.isCordoned) return machine.cordonReason;
     const { lease, operator } = this.context;
     const unreachableSinceMs = Math.max(machine.idleSinceMs, machine.unreachableSinceMs, lease.startedMs);
     if (!machine.isReachable && nowMs - unreachableSinceMs > this.abandonAfterMs())
@@ -174,14 +174,14 @@
 
   /** Whether something has to be sent again, and whether under a higher fencing token. */
   private reminderFor(machine: Machine, nowMs: number): { due: boolean; raiseToken: boolean } {
-    const probeAgeMs = nowMs - machine.probedMs;
+    const probeAgeMs = nowMs - machine.lastProbeMs;
     let due = !machine.isReachable && probeAgeMs > PROBE_MS;
     let raiseToken = false;
     for (const attempt of machine.attempts) {
       if (attempt.stop) due ||= nowMs - attempt.stop.lastSentMs > REPEAT_MS;
-      else if (attempt.inherited) continue;
+      else if (attempt.isInherited) continue;
       // Became durable when we might start nothing: a machine that has nothing new to say gives no other occasion.
-      else if (attempt.durable && attempt.sentToken < 0)
+      else if (attempt.isDurable && attempt.sentToken < 0)
         due ||= machine.isReachable && this.context.lease.mayWrite();
       else if (attempt.phase === null && attempt.sentToken >= 0 && nowMs - attempt.sentMs > REPEAT_MS) {
         due = true;
@@ -190,7 +190,7 @@
           attempt.sentToken >= machine.fencingToken && nowMs - attempt.sentMs > RAISE_TOKEN_AFTER_MS;
       }
     }
-    due ||= probeAgeMs > REAP_MS && machine.reportedTasks.some((status) => status.phase === "exited");
+    due ||= probeAgeMs > REAP_MS && machine.listedTasks.some((status) => status.phase === "exited");
     return { due, raiseToken };
   }
 }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -58,7 +58,7 @@
   /** The machine's attempts that its newest heartbeat lists. */
   private listedAttempts(machine: Machine): Map<Attempt, TaskStatus> {
     const listed = new Map<Attempt, TaskStatus>();
-    for (const status of machine.reportedTasks) {
+    for (const status of machine.listedTasks) {
       const attempt = this.context.jobs.get(status.jobId)?.attemptOf(status.task);
       if (attempt && attempt.number === status.attempt && attempt.machine === machine)
         listed.set(attempt, status);
@@ -72,7 +72,7 @@
     const heartbeat = { epoch: machine.epoch, fencingToken: machine.seenToken };
     if (absenceProvesTaskGone(attempt, heartbeat, firstFencingToken(lease.term))) {
       const neverSeen = attempt.phase === null && !attempt.stop;
-      if (!attempt.inherited && neverSeen && attempt.sentEpoch === machine.epoch) {
+      if (!attempt.isInherited && neverSeen && attempt.sentEpoch === machine.epoch) {
         // Certainly not there and never was: the same start may be sent anew.
         attempt.sentToken = -1;
         commands.sendCommands(machine);
@@ -83,12 +83,12 @@
       attempt.sentToken >= 0 &&
       (attempt.phase !== null || attempt.stop !== null) &&
       clock.nowMs() - attempt.sentMs > LISTED_WITHIN_MS;
-    return (attempt.inherited || shouldBeListed) && attempt.sentToken >= machine.fencingToken;
+    return (attempt.isInherited || shouldBeListed) && attempt.sentToken >= machine.fencingToken;
   }
 
   /** A result counts whichever attempt brought it. */
   private takeOverResults(machine: Machine): void {
-    for (const status of machine.reportedTasks) {
+    for (const status of machine.listedTasks) {
       if (status.phase !== "exited" || status.cause !== "done") continue;
       const job = this.context.jobs.get(status.jobId);
       if (job && !job.isDone(status.task) && !job.attemptOf(status.task))
@@ -98,16 +98,17 @@
 
   private attemptSeen(attempt: Attempt, phase: Exclude<TaskStatus["phase"], "exited">): void {
     const { job, machine } = attempt;
-    attempt.inherited = false;
+    attempt.isInherited = false;
     if (attempt.sentToken < 0) {
       // Started by an earlier leader: guard against that one's copies, too.
       attempt.sentToken = firstFencingToken(this.context.lease.term) - 1;
       attempt.sentEpoch = machine.epoch;
     }
-    if (phase !== "fetching" && machine.images.isFetching(job.spec.image)) machine.imageReady(job.spec.image);
+    if (phase !== "fetching" && machine.images.isFetching(job.spec.image))
+      machine.markImageFetched(job.spec.image);
     if (phase === "running" && attempt.runningMs === null) this.noteRunning(attempt);
     attempt.phase = phase;
-    if (job.cancelled && !attempt.stop) this.context.attempts.stopAttempt(attempt, 0);
+    if (job.isCancelled && !attempt.stop) this.context.attempts.stopAttempt(attempt, 0);
   }
 
   private noteRunning(attempt: Attempt): void {
@@ -127,10 +128,10 @@
     const nowMs = this.context.clock.nowMs();
     const ranS = attempt.runningMs === null ? 0 : (nowMs - attempt.runningMs) / 1000;
     // A task that ran had its image.
-    if (status.cause === "done" || status.cause === "error") machine.imageReady(job.spec.image);
+    if (status.cause === "done" || status.cause === "error") machine.markImageFetched(job.spec.image);
     attempts.confirmGone(attempt);
     if (status.cause === "done") {
-      machine.failures.clear();
+      machine.consecutiveFailures.clear();
       if (ranS > 0) estimates.runTimes.recordRun(job.spec.className, ranS, job.spec.estimateS);
       attempts.markTaskDone(job, attempt.task);
       return;
@@ -145,18 +146,18 @@
 function noteFailure(job: Job, machine: Machine, cause: TaskStatus["cause"], nowMs: number): void {
   switch (cause) {
     case "error":
-      job.errors++;
+      job.failureCount++;
       job.failedOn.add(machine.name);
-      machine.failures.set(job.id, (machine.failures.get(job.id) ?? 0) + 1);
-      job.avoid.set(machine.name, nowMs + AVOID_AFTER_ERROR_MS);
+      machine.consecutiveFailures.set(job.id, (machine.consecutiveFailures.get(job.id) ?? 0) + 1);
+      job.avoidedUntilMs.set(machine.name, nowMs + AVOID_AFTER_ERROR_MS);
       // A job with a mistake fails everywhere: try it less and less often.
-      job.notBeforeMs = nowMs + retryDelayMs(job.errors);
+      job.notBeforeMs = nowMs + retryDelayMs(job.failureCount);
       break;
     case "no_room":
-      job.avoid.set(machine.name, nowMs + AVOID_WITHOUT_ROOM_MS);
+      job.avoidedUntilMs.set(machine.name, nowMs + AVOID_WITHOUT_ROOM_MS);
       break;
     case "in_use":
-      job.avoid.set(machine.name, nowMs + AVOID_IN_USE_MS);
+      job.avoidedUntilMs.set(machine.name, nowMs + AVOID_IN_USE_MS);
       break;
     case "unknown":
       job.notBeforeMs = nowMs + RETRY_UNKNOWN_MS;
--- a/src/coordination/provisioning/provisioner.ts
+++ b/src/coordination/provisioning/provisioner.ts
@@ -77,7 +77,7 @@
           if (m.type) this.available(m.type.name, m.zone, m.spot);
           // The cloud's 200 to a deletion: the machine and everything on it is gone.
           for (const a of [...m.attempts]) this.context.attempts.markLost(a);
-          this.context.machines.forget(name);
+          this.context.machines.remove(name);
         }
         this.context.cycles.requestCycle();
         break;
@@ -101,7 +101,7 @@
     if (machine.zone === "") machine.zone = listed.zone;
     if (machine.address === "") machine.address = listed.address;
     if (machine.state === "booting") machine.spot = listed.spot;
-    if (listed.phase === "running") machine.listedAsRunning = true;
+    if (listed.phase === "running") machine.isListedAsRunning = true;
     if (listed.phase === "failed") this.scaleIn(machine, "failed");
   }
 
--- a/src/coordination/records/jobRecords.ts
+++ b/src/coordination/records/jobRecords.ts
@@ -1,11 +1,11 @@
 import { Job, type Attempt } from "../../bookkeeping/workload.js";
 import { decodeChunk, decodeHead, keys, type ChunkRecord } from "../../bookkeeping/records.js";
 import type { Item } from "../../bookkeeping/stateStoreClient.js";
-import type { Garbage, Transaction } from "../../bookkeeping/transaction.js";
+import type { ObsoleteKeys, Transaction } from "../../bookkeeping/transaction.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
 import type { Estimates } from "../scheduling/estimates.js";
-import { newStop, type Attempts } from "../term/attempts.js";
+import { newStopRequest, type Attempts } from "../term/attempts.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 
@@ -22,7 +22,7 @@
 
 /** Applies the records of live jobs to the registry, and owns the list of keys that no live job needs any more. */
 export class JobRecords {
-  readonly garbage: Garbage = new Map();
+  readonly obsoleteKeys: ObsoleteKeys = new Map();
 
   constructor(private readonly context: JobRecordsContext) {}
 
@@ -39,7 +39,7 @@
     if (job) {
       if (item.version < job.headVersion) return;
       job.headVersion = item.version;
-      if (head.cancelledAt !== null && !job.cancelled) attempts.cancelJob(job, head.cancelledAt);
+      if (head.cancelledAt !== null && !job.isCancelled) attempts.cancelJob(job, head.cancelledAt);
       return;
     }
     const ageMs = Math.max(0, clock.wallTime().getTime() - head.acceptedAt.getTime());
@@ -52,7 +52,7 @@
     const { id, index } = parseChunkKey(item.key);
     const job = this.context.jobs.get(id);
     if (!job) {
-      this.garbage.set(item.key, item.version);
+      this.obsoleteKeys.set(item.key, item.version);
       return;
     }
     const record = decodeChunk(item.value);
@@ -73,15 +73,15 @@
       task: entry.task,
       number: entry.attempt,
       machine: this.context.machines.getOrCreate(entry.machine, entry.zone),
-      durable: true,
-      inherited: true,
+      isDurable: true,
+      isInherited: true,
       sentToken: -1,
       sentEpoch: 0,
       sentMs: -Infinity,
       phase: null,
       plannedMs: nowMs,
       runningMs: null,
-      stop: job.cancelled ? newStop(nowMs, 0) : null,
+      stop: job.isCancelled ? newStopRequest(nowMs, 0) : null,
     };
   }
 
@@ -92,7 +92,7 @@
     );
     for (const chunk of job.chunks.values()) {
       const key = keys.chunk(job.id, chunk.index);
-      if (chunk.version > 0 && !deleted.has(key)) this.garbage.set(key, chunk.version);
+      if (chunk.version > 0 && !deleted.has(key)) this.obsoleteKeys.set(key, chunk.version);
     }
     this.context.jobs.remove(job.id);
     this.context.onJobRemoved(job.id);
@@ -103,9 +103,9 @@
     const { id, index } = parseChunkKey(key);
     const chunk = this.context.jobs.get(id)?.chunks.get(index);
     if (chunk) chunk.version = version;
-    if (!this.garbage.has(key)) return;
-    if (version > 0) this.garbage.set(key, version);
-    else this.garbage.delete(key);
+    if (!this.obsoleteKeys.has(key)) return;
+    if (version > 0) this.obsoleteKeys.set(key, version);
+    else this.obsoleteKeys.delete(key);
   }
 }
 
--- a/src/coordination/records/recordLoader.ts
+++ b/src/coordination/records/recordLoader.ts
@@ -116,6 +116,6 @@
     for (const machine of machines.values()) if (machine.state === "up") reconciliation.reconcile(machine);
     // A gang that had lost a member, and whose leader ended before it had stopped the others: they would wait for it alone.
     for (const job of jobs.values())
-      if (job.spec.kind === "gang" && job.attempts.size > 0 && job.pending > 0) attempts.breakGang(job);
+      if (job.spec.kind === "gang" && job.attempts.size > 0 && job.pendingCount > 0) attempts.breakGang(job);
   }
 }
--- a/src/coordination/records/recordWriter.ts
+++ b/src/coordination/records/recordWriter.ts
@@ -85,7 +85,7 @@
       this.blocked = true;
       return;
     }
-    const room = stateStore.writeRoom();
+    const room = stateStore.availableWrites();
     if (room < 1) {
       queue.requestWrite(Math.max(ROOM_PAUSE_MS, stateStore.writeWaitMs(1)));
       return;
@@ -104,7 +104,7 @@
       deferredChanges: Math.max(1, room - DEFERRED_WRITE_RESERVE),
       bytes: MAX_TRANSACTION_BYTES,
     };
-    const transaction = composeTransaction(jobs.values(), jobRecords.garbage, lease.termVersion, limits);
+    const transaction = composeTransaction(jobs.values(), jobRecords.obsoleteKeys, lease.termVersion, limits);
     if (transaction.changes.length < limits.changes) this.addMoves(transaction);
     if (transaction.changes.length < limits.changes) this.addMachineTypes(transaction);
     return transaction;
@@ -114,7 +114,7 @@
   private addMoves(transaction: Transaction): void {
     const moves = this.context.rounds.plannedMoves;
     if (!moves) return;
-    transaction.guards.push({ key: keys.moves, version: this.context.singletons.movesVersion });
+    transaction.conditions.push({ key: keys.moves, version: this.context.singletons.movesVersion });
     transaction.changes.push({ put: keys.moves, value: { term: this.context.lease.term, moves } });
     transaction.moves = moves;
   }
@@ -122,7 +122,7 @@
   private addMachineTypes(transaction: Transaction): void {
     const { singletons, estimates } = this.context;
     if (!singletons.typesDirty) return;
-    transaction.guards.push({ key: keys.types, version: singletons.typesVersion });
+    transaction.conditions.push({ key: keys.types, version: singletons.typesVersion });
     transaction.changes.push({ put: keys.types, value: encodeMachineTypes(estimates.types) });
     transaction.types = true;
   }
@@ -132,11 +132,11 @@
     queue.writeBegun();
     for (const { chunk } of transaction.parts) {
       if (!chunk) continue;
-      chunk.dirty = false;
-      chunk.urgent = false;
+      chunk.isDirty = false;
+      chunk.isUrgent = false;
     }
     void stateStore
-      .compareAndSwap(transaction.guards, transaction.changes, clock.nowMs() + WRITE_MS)
+      .compareAndSwap(transaction.conditions, transaction.changes, clock.nowMs() + WRITE_MS)
       .then((outcome) => tell({ kind: "committed", transaction, outcome }));
   }
 
@@ -167,7 +167,7 @@
   private hasUrgentChange(): boolean {
     for (const job of this.context.jobs.values()) {
       if (job.canFinalize) return true;
-      for (const chunk of job.chunks.values()) if (chunk.urgent) return true;
+      for (const chunk of job.chunks.values()) if (chunk.isUrgent) return true;
     }
     return this.context.rounds.plannedMoves !== null;
   }
@@ -175,7 +175,7 @@
   private applyDurable(transaction: Transaction, revision: number): void {
     const { commands, rounds, singletons, jobRecords } = this.context;
     const machines = new Set<Machine>();
-    for (const key of transaction.garbage) jobRecords.garbage.delete(key);
+    for (const key of transaction.obsoleteKeys) jobRecords.obsoleteKeys.delete(key);
     for (const part of transaction.parts) {
       if (part.chunk) applyDurableChunk(part, revision, machines);
       else jobRecords.removeFinalized(part.job, transaction);
@@ -240,10 +240,10 @@
 function applyDurableChunk(part: TransactionPart, revision: number, machines: Set<Machine>): void {
   const chunk = part.chunk!;
   chunk.version = revision;
-  chunk.durableDone = part.done!;
+  chunk.durablyDone = part.done!;
   for (const attempt of part.attempts) {
-    if (attempt.durable) continue;
-    attempt.durable = true;
+    if (attempt.isDurable) continue;
+    attempt.isDurable = true;
     if (attempt.machine.attempts.has(attempt)) machines.add(attempt.machine);
   }
 }
@@ -251,6 +251,6 @@
 /** The write failed: what it held still has to be written, and planned attempts in it still wait. */
 function markUnwritten({ chunk }: TransactionPart): void {
   if (!chunk) return;
-  chunk.dirty = true;
-  if ([...chunk.attempts.values()].some((attempt) => !attempt.durable)) chunk.urgent = true;
+  chunk.isDirty = true;
+  if ([...chunk.attempts.values()].some((attempt) => !attempt.isDurable)) chunk.isUrgent = true;
 }
--- a/src/coordination/scheduling/failureDetection.ts
+++ b/src/coordination/scheduling/failureDetection.ts
@@ -17,7 +17,7 @@
   let score = 0;
   let proven = 0;
   let counted = 0;
-  for (const [id, n] of machine.failures) {
+  for (const [id, n] of machine.consecutiveFailures) {
     const job = jobs.get(id);
     if (job && jobLooksFaulty(job)) continue;
     const well =
--- a/src/coordination/scheduling/queue.ts
+++ b/src/coordination/scheduling/queue.ts
@@ -8,7 +8,7 @@
  */
 export function jobsWithinGuarantee(jobs: Iterable<Job>, teams: Map<string, Team>): Set<Job> {
   const byTeam = groupBy(
-    [...jobs].filter((job) => !job.cancelled),
+    [...jobs].filter((job) => !job.isCancelled),
     (job) => job.spec.team,
   );
   const within = new Set<Job>();
--- a/src/coordination/scheduling/quotaView.ts
+++ b/src/coordination/scheduling/quotaView.ts
@@ -41,16 +41,16 @@
   };
 
   return {
-    room: (spec) => usage.room(spec, plannedOf(spec.team)),
+    room: (spec) => usage.tasksAllowed(spec, plannedOf(spec.team)),
     roomWhenStopped: (spec) => {
       const plan = plannedOf(spec.team);
       const gone = stoppingOf(spec.team);
-      return usage.room(spec, { cpus: plan.cpus - gone.cpus, gpus: plan.gpus - gone.gpus });
+      return usage.tasksAllowed(spec, { cpus: plan.cpus - gone.cpus, gpus: plan.gpus - gone.gpus });
     },
     attainable: (spec) => {
       const { cpus, gpus } = lastingOf(spec);
       const plan = plannedOf(spec.team);
-      return usage.fitting(spec, { cpus: cpus + plan.cpus, gpus: gpus + plan.gpus });
+      return usage.tasksAllowedBeside(spec, { cpus: cpus + plan.cpus, gpus: gpus + plan.gpus });
     },
     take: (spec, tasks) => {
       const sum = plannedOf(spec.team);
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -110,7 +110,7 @@
     const guaranteed = this.guaranteed();
     const entries: QueueEntry[] = [];
     for (const job of jobs.values()) {
-      if (job.cancelled || job.pending <= 0 || job.notBeforeMs > now) continue;
+      if (job.isCancelled || job.pendingCount <= 0 || job.notBeforeMs > now) continue;
       entries.push(this.entry(job, guaranteed.has(job), now));
     }
     if (entries.length > 0) this.place(entries, guaranteed, now);
@@ -130,7 +130,7 @@
       if (
         !machine.type ||
         machine.state === "leaving" ||
-        machine.cordoned ||
+        machine.isCordoned ||
         machine.interruptionAtMs !== null
       )
         continue;
@@ -213,9 +213,9 @@
       isLate: waitedS > LATE_FRACTION * this.longestTargetS(spec.className),
       fairShareTasks: Infinity,
       taskLimit: Infinity,
-      unfinishedTasks: job.pending + job.attempts.size,
-      demand: (spec.gpus || spec.cpus) * (job.pending + job.attempts.size),
-      remainingWork: (spec.gpus || spec.cpus) * (job.pending * taskS + runningS),
+      unfinishedTasks: job.pendingCount + job.attempts.size,
+      demand: (spec.gpus || spec.cpus) * (job.pendingCount + job.attempts.size),
+      remainingWork: (spec.gpus || spec.cpus) * (job.pendingCount * taskS + runningS),
       acceptedAtMs: job.acceptedAt.getTime(),
     };
   }
@@ -254,7 +254,7 @@
   private capacities(): (priority: number, gpus: boolean) => number {
     const all = { cpus: 0, gpus: 0 };
     for (const machine of this.context.machines.values()) {
-      if (!machine.type || machine.state === "leaving" || machine.cordoned) continue;
+      if (!machine.type || machine.state === "leaving" || machine.isCordoned) continue;
       all.gpus += machine.type.gpus;
       if (machine.type.gpus === 0 || !this.context.estimates.acceleratorReserveOn(machine.type, machine.spot))
         all.cpus += machine.type.cpus;
@@ -279,14 +279,14 @@
     const zones = new Map<string, number>();
     for (const a of entry.job.attempts) zones.set(a.machine.zone, (zones.get(a.machine.zone) ?? 0) + 1);
     const avoid = new Set<string>();
-    for (const [name, untilMs] of entry.job.avoid) {
+    for (const [name, untilMs] of entry.job.avoidedUntilMs) {
       if (untilMs > now) avoid.add(name);
-      else entry.job.avoid.delete(name);
+      else entry.job.avoidedUntilMs.delete(name);
     }
     const prefer = this.context.preferredMachines.get(entry.job.id);
     return {
       spec: entry.job.spec,
-      pending: entry.job.pending,
+      pending: entry.job.pendingCount,
       taskLimit: this.limit(entry),
       fairShareTasks: Math.max(0, entry.fairShareTasks - entry.job.attempts.size),
       taskS: entry.job.spec.kind === "service" ? Infinity : entry.taskS,
@@ -356,8 +356,8 @@
     view.free.cpus -= machine.used.cpus;
     view.free.gpus -= machine.used.gpus;
     view.free.memoryGb -= machine.used.memoryGb;
-    for (const image of machine.images.ready()) view.images.add(image);
-    for (const image of machine.images.fetching()) view.fetching.add(image);
+    for (const image of machine.images.fetchedImages()) view.images.add(image);
+    for (const image of machine.images.fetchingImages()) view.fetching.add(image);
     view.backlogGb = machine.images.backlogGb();
     view.zoneHasController = this.context.estimates.controllerZones.has(machine.zone);
     for (const attempt of machine.attempts) {
@@ -403,8 +403,8 @@
           task,
           number,
           machine,
-          durable: false,
-          inherited: false,
+          isDurable: false,
+          isInherited: false,
           sentToken: -1,
           sentEpoch: 0,
           sentMs: -Infinity,
@@ -413,8 +413,8 @@
           runningMs: null,
           stop: null,
         });
-        chunk.dirty = true;
-        chunk.urgent = true;
+        chunk.isDirty = true;
+        chunk.isUrgent = true;
       }
       log.debug(() => `${job.id}: ${placement.tasks} on ${machine.name}`);
     }
@@ -443,7 +443,7 @@
  * after all, it is used. One that has been up before is not late but silent: cut off, say, and back in a while. Pure.
  */
 export function isOverdueToBoot(machine: Machine, nowMs: number): boolean {
-  if (machine.listedAsRunning || machine.attempts.size > 0 || !machine.type) return false;
+  if (machine.isListedAsRunning || machine.attempts.size > 0 || !machine.type) return false;
   return nowMs - machine.createdMs > (machine.type.bootS * LATE_BOOT_TIMES + 3) * 1000;
 }
 
--- a/src/coordination/term/attempts.ts
+++ b/src/coordination/term/attempts.ts
@@ -52,7 +52,7 @@
     machine.detach(attempt, this.context.clock.nowMs());
     this.context.usage.add(job.spec, -1);
     abandonFetch(machine, job.spec.image);
-    if (!job.cancelled) job.requeue(attempt.task);
+    if (!job.isCancelled) job.requeue(attempt.task);
     this.context.cycles.requestCycle();
     this.context.writes.requestWrite(job.canFinalize ? 0 : DEFERRED_WRITE_MS);
   }
@@ -61,8 +61,8 @@
   stopAttempt(attempt: Attempt, graceS: number): void {
     attempt.machine.revision++;
     if (attempt.stop && graceS >= attempt.stop.graceS) return;
-    attempt.stop = newStop(this.context.clock.nowMs(), graceS);
-    if (attempt.inherited || attempt.sentToken >= 0) {
+    attempt.stop = newStopRequest(this.context.clock.nowMs(), graceS);
+    if (attempt.isInherited || attempt.sentToken >= 0) {
       this.context.commands.sendCommands(attempt.machine);
       return;
     }
@@ -82,7 +82,7 @@
 
   cancelJob(job: Job, cancelledAt: Date): void {
     job.cancelledAt = cancelledAt;
-    this.context.jobs.noteCancelled();
+    this.context.jobs.recordCancellation();
     for (const attempt of [...job.attempts]) this.stopAttempt(attempt, 0);
     if (job.canFinalize) this.context.writes.requestWrite(0);
   }
@@ -117,10 +117,10 @@
 function abandonFetch(machine: Machine, image: string): void {
   if (!machine.images.isFetching(image)) return;
   for (const attempt of machine.attempts) if (attempt.job.spec.image === image) return;
-  machine.imageFetchAbandoned(image);
+  machine.abandonImageFetch(image);
 }
 
 /** A stop that was asked for now and has not been sent yet. */
-export function newStop(nowMs: number, graceS: number): NonNullable<Attempt["stop"]> {
+export function newStopRequest(nowMs: number, graceS: number): NonNullable<Attempt["stop"]> {
   return { sinceMs: nowMs, graceS, sent: false, lastSentMs: -Infinity };
 }
--- a/src/coordination/term/jobRegistry.ts
+++ b/src/coordination/term/jobRegistry.ts
@@ -38,7 +38,7 @@
   }
 
   /** A job was cancelled: what was derived from the set of jobs has to be derived again. */
-  noteCancelled(): void {
+  recordCancellation(): void {
     this.changes++;
   }
 }
--- a/src/coordination/term/leaseProofs.ts
+++ b/src/coordination/term/leaseProofs.ts
@@ -14,7 +14,7 @@
   /** Worker's epoch that the start command named. */
   sentEpoch: number;
   /** An earlier leader may have sent a start command that this one knows nothing of. */
-  inherited: boolean;
+  isInherited: boolean;
 }
 
 /** What a heartbeat says of the worker that sent it. */
@@ -36,7 +36,7 @@
   heartbeat: HeartbeatFacts,
   firstTokenOfTerm: number,
 ): boolean {
-  if (start.inherited)
+  if (start.isInherited)
     return heartbeat.fencingToken >= firstTokenOfTerm && heartbeat.fencingToken > start.sentToken;
   if (start.sentToken < 0) return false;
   return heartbeat.epoch > start.sentEpoch || heartbeat.fencingToken > start.sentToken;
--- a/src/coordination/term/machineRegistry.ts
+++ b/src/coordination/term/machineRegistry.ts
@@ -44,7 +44,7 @@
     this.removed.add(name);
   }
 
-  forget(name: string): void {
+  remove(name: string): void {
     this.machines.delete(name);
   }
 }
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -49,7 +49,7 @@
     ],
   ];
   for (const [name, failures, want] of cases) {
-    m.failures = new Map(failures.map(([j, n]) => [j.id, n]));
+    m.consecutiveFailures = new Map(failures.map(([j, n]) => [j.id, n]));
     assert.equal(machineLooksFaulty(m, new Map(failures.map(([j]) => [j.id, j]))), want, name);
   }
   assert.equal(jobLooksFaulty(job("a", everywhere)), true);
@@ -62,7 +62,7 @@
   const m = machine("m1");
   m.type = { bootS: 40 } as MachineType;
   assert.deepEqual([isOverdueToBoot(m, 60_000), isOverdueToBoot(m, 80_000)], [false, true]);
-  m.listedAsRunning = true;
+  m.isListedAsRunning = true;
   assert.equal(isOverdueToBoot(m, 80_000), false);
 });
 
--- a/test/leaseExpiry.test.ts
+++ b/test/leaseExpiry.test.ts
@@ -12,8 +12,8 @@
 } from "../src/coordination/term/leaseProofs.js";
 
 test("absence from a report proves a task gone only behind a higher token or session", () => {
-  const mine = { sentToken: 100, sentEpoch: 2, inherited: false };
-  const old = { sentToken: -1, sentEpoch: 0, inherited: true };
+  const mine = { sentToken: 100, sentEpoch: 2, isInherited: false };
+  const old = { sentToken: -1, sentEpoch: 0, isInherited: true };
   const cases: [string, typeof mine, { epoch: number; fencingToken: number }, boolean][] = [
     ["same token: the start may still be on its way", mine, { epoch: 2, fencingToken: 100 }, false],
     ["lower token", mine, { epoch: 2, fencingToken: 99 }, false],
--- a/test/ledger.test.ts
+++ b/test/transaction.test.ts
@@ -14,7 +14,7 @@
 
   /** Keys whose guard fails; carried out when there are none. */
   commit(transaction: Transaction): string[] {
-    const failed = transaction.guards
+    const failed = transaction.conditions
       .filter((g) => (this.versions.get(g.key) ?? 0) !== g.version)
       .map((g) => g.key);
     if (failed.length > 0) return failed;
@@ -45,10 +45,10 @@
     task,
     number,
     machine: new Machine("m1", null, "a", false, 1, 0),
-    durable: false,
+    isDurable: false,
   } as Attempt;
   job.attach(a);
-  job.chunkOf(task).urgent = true;
+  job.chunkOf(task).isUrgent = true;
   return a;
 }
 
@@ -58,7 +58,7 @@
 function applied(store: Store, job: Job): void {
   for (const chunk of job.chunks.values()) {
     chunk.version = store.versions.get(keys.chunk(job.id, chunk.index)) ?? 0;
-    chunk.dirty = chunk.urgent = false;
+    chunk.isDirty = chunk.isUrgent = false;
   }
 }
 
