--- a/src/client.ts
+++ b/src/cli/jobCommand.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
-import { HttpClient, NoResponseError } from "./transport/httpClient.js";
-import { isJobId } from "./protocol/users.js";
+import { HttpClient, NoResponseError } from "../transport/httpClient.js";
+import { isJobId } from "../protocol/users.js";
 
 /** The command line's small client. Returns the exit code. */
 export async function runJobCall(
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -37,18 +37,20 @@
 /** A new process serves workers and users after this at the latest, with or without a right to acknowledge reports. */
 const START_WAIT_MS = 2500;
 const DIRECT_MS = 3000;
-/** Reads for questions are no closer together than this. */
-const READ_EVERY_MS = 250;
+/** Reads of live jobs are no closer together than this. */
+const MIN_READ_GAP_MS = 250;
+/** The share of the state store's rate that all controllers' reads of live jobs take at most. */
+const LIVE_JOB_READ_SHARE = 0.45;
 /** Refused by the state service for so long, while the leader was served this lately: then it is this node alone. */
 const ALONE_MS = 4000;
 const FRESH_MS = 1200;
 
-export interface Environment {
+export interface ControllerEnvironment {
   clock: Clock;
-  state: HttpCaller;
-  cloud: HttpCaller;
-  workers: HttpCaller;
-  peers: PeerPort;
+  stateStoreHttp: HttpCaller;
+  cloudHttp: HttpCaller;
+  workerHttp: HttpCaller;
+  peerPort: PeerPort;
   /** Different in each process. */
   incarnation: string;
   random: () => number;
@@ -56,12 +58,12 @@
 
 /** One controller: the actors, wired to each other and to whatever stands for the outside. */
 export class Controller {
-  readonly state: StateStoreClient;
+  readonly stateStore: StateStoreClient;
   readonly elector: Elector;
   readonly leader: Leader;
   readonly admission: Admission;
   private readonly cloud: CloudClient;
-  private readonly reportServer: HeartbeatServer;
+  private readonly heartbeatServer: HeartbeatServer;
   private readonly commandRouter: CommandRouter;
   private readonly lag: EventLoopLagMeter;
   private typesKnown = false;
@@ -74,39 +76,34 @@
   constructor(
     private readonly platform: Platform,
     operator: Operator,
-    private readonly out: Environment,
+    private readonly out: ControllerEnvironment,
   ) {
     const { clock } = out;
-    const send = (peer: string, message: PeerMessage) => out.peers.send(peer, encodePeerMessage(message));
-    this.state = new StateStoreClient(out.state, clock, platform.stateStoreAddress, {
+    const send = (peer: string, message: PeerMessage) => out.peerPort.send(peer, encodePeerMessage(message));
+    this.stateStore = new StateStoreClient(out.stateStoreHttp, clock, platform.stateStoreAddress, {
       rps: platform.stateStoreRps,
       writeRps: platform.stateStoreWriteRps,
       nodes: platform.clusterSize,
     });
     this.lag = new EventLoopLagMeter(clock);
     this.limiter = new RequestLimiter(() => this.lag.lagMs, out.random);
-    // All nodes' reads for questions together take less than half of what the service serves; and nobody minds a
-    // question answered a moment later, while each read costs this node as much as several answers.
-    const liveJobs = new LiveJobCache(
-      this.state,
-      clock,
-      Math.max(READ_EVERY_MS, (1000 * platform.clusterSize) / (platform.stateStoreRps * 0.45)),
-    );
+    const liveJobs = new LiveJobCache(this.stateStore, clock, liveJobReadGapMs(platform));
     this.admission = new Admission({
-      state: this.state,
+      stateStore: this.stateStore,
       liveJobs,
       clock,
       teams: platform.teams,
       valueBytes: platform.stateStoreValueKb * 1024,
-      onCancellationConfirmed: (id, at) => this.reportServer.tell({ kind: "cancellation confirmed", id, at }),
+      onCancellationConfirmed: (id, at) =>
+        this.heartbeatServer.tell({ kind: "cancellation confirmed", id, at }),
     });
-    this.cloud = new CloudClient(out.cloud, clock, platform.cloudAddress, platform.cloudRps, (event) =>
+    this.cloud = new CloudClient(out.cloudHttp, clock, platform.cloudAddress, platform.cloudRps, (event) =>
       this.leader.tell({ kind: "cloud", event }),
     );
     this.commandRouter = new CommandRouter(
       platform.node,
       clock,
-      new CommandSender(out.workers, DIRECT_MS),
+      new CommandSender(out.workerHttp, DIRECT_MS),
       send,
       (term, result) => this.leader.tell({ kind: "delivery finished", term, result }),
     );
@@ -115,14 +112,14 @@
     this.leader = new Leader({
       platform,
       operator,
-      stateStore: this.state,
+      stateStore: this.stateStore,
       clock,
       cloud: this.cloud,
       deliver: (term, via, delivery) => this.commandRouter.deliver(term, via, delivery),
       sendGrant: send,
-      onServers: (servers) => this.reportServer.tell({ kind: "servers", servers }),
-      onLimits: (limits) => this.reportServer.tell({ kind: "limits", limits }),
-      workerCount: () => this.reportServer.workerCount,
+      onServers: (servers) => this.heartbeatServer.tell({ kind: "servers", servers }),
+      onLimits: (limits) => this.heartbeatServer.tell({ kind: "limits", limits }),
+      workerCount: () => this.heartbeatServer.workerCount,
       lagMs,
       onDeposed: (term) => this.elector.tell({ kind: "deposed", term }),
       onLagging: (term) => this.elector.tell({ kind: "lagging", term }),
@@ -137,7 +134,7 @@
     });
     let onFirstGrant = (): void => undefined;
     this.firstGrant = new Promise((resolve) => (onFirstGrant = resolve));
-    this.reportServer = new HeartbeatServer({
+    this.heartbeatServer = new HeartbeatServer({
       node: platform.node,
       zone: platform.zone,
       zones: controllerZones(platform),
@@ -156,7 +153,7 @@
       node: platform.node,
       incarnation: out.incarnation,
       peers: others,
-      stateStore: this.state,
+      stateStore: this.stateStore,
       clock,
       send,
       random: out.random,
@@ -165,7 +162,7 @@
       onLeadershipChange: (change) => {
         // The leader first: the report server tells it of its workers at once.
         this.leader.tell({ kind: "election", change });
-        this.reportServer.tell({ kind: "election", change });
+        this.heartbeatServer.tell({ kind: "election", change });
       },
     });
   }
@@ -174,7 +171,7 @@
     this.lag.start();
     this.elector.start();
     this.leader.start();
-    this.reportServer.start();
+    this.heartbeatServer.start();
     this.fetchMachineTypes(0);
   }
 
@@ -183,12 +180,12 @@
     this.lag.stop();
     this.elector.stop();
     this.leader.stop();
-    this.reportServer.stop();
+    this.heartbeatServer.stop();
     this.cloud.tell({ kind: "stop" });
   }
 
   /** Resolves once reports may be acknowledged here, or after that time. */
-  mayServe(withinMs: number): Promise<void> {
+  waitForFirstGrant(withinMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.out.clock.after(withinMs, resolve);
       void this.firstGrant.then(() => {
@@ -201,7 +198,7 @@
   /** A node that doesn't lead learns the machine types from the state service, where a leader put them. */
   private fetchMachineTypes(round: number): void {
     if (this.typesKnown || this.stopped) return;
-    void this.state.get(keys.types, this.out.clock.nowMs() + 2000).then((got) => {
+    void this.stateStore.get(keys.types, this.out.clock.nowMs() + 2000).then((got) => {
       const types = got.kind === "found" ? decodeMachineTypes(got.item.value) : null;
       if (types && types.length > 0)
         this.leader.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } });
@@ -210,7 +207,7 @@
   }
 
   /** A link that comes in: gives what takes its frames, and says why to close it when one is not in order. */
-  onLink(): (frame: Buffer) => string | null {
+  acceptPeerLink(): (frame: Buffer) => string | null {
     let peer: string | null = null;
     return (frame) => {
       const message = decodePeerMessage(frame);
@@ -241,10 +238,10 @@
         break;
       case "grant":
         if (message.stateStoreReachable) this.leaderServedMs = this.out.clock.nowMs();
-        this.reportServer.tell({ kind: "grant", grant: message });
+        this.heartbeatServer.tell({ kind: "grant", grant: message });
         break;
       case "isolated":
-        this.reportServer.tell({ kind: "isolated", from: message.from, term: message.term });
+        this.heartbeatServer.tell({ kind: "isolated", from: message.from, term: message.term });
         break;
       case "deliveries":
         this.commandRouter.deliverFor(message.from, message.term, message.deliveries);
@@ -268,15 +265,15 @@
    * Ready when requests can be decided here. A node that the state service alone refuses turns users away; in an outage
    * that hits everybody that would help nobody, and the balancer would leave all nodes out for long after it.
    */
-  ready(): boolean {
+  isReady(): boolean {
     if (!this.typesKnown) return false;
     const now = this.out.clock.nowMs();
-    const { lastServedSentMs, lastRefusedMs } = this.state;
+    const { lastServedSentMs, lastRefusedMs } = this.stateStore;
     const refusedForMs = lastRefusedMs > lastServedSentMs ? now - lastServedSentMs : 0;
     return !(refusedForMs > ALONE_MS && now - this.leaderServedMs < FRESH_MS);
   }
 
-  onRequest(request: ServerRequest, reply: (answer: ServerResponse) => void): void {
+  handleRequest(request: ServerRequest, reply: (answer: ServerResponse) => void): void {
     const call = routeRequest(request.method, request.path);
     switch (call.call) {
       case "report": {
@@ -285,12 +282,12 @@
           reply({ status: 400, body: { error: "not a report" } });
           return;
         }
-        this.reportServer.tell({ kind: "heartbeat", heartbeat, reply });
+        this.heartbeatServer.tell({ kind: "heartbeat", heartbeat, reply });
         return;
       }
       case "ready":
         reply(
-          this.ready() ? { status: 200, body: { ready: true } } : { status: 503, body: { ready: false } },
+          this.isReady() ? { status: 200, body: { ready: true } } : { status: 503, body: { ready: false } },
         );
         return;
       case "none":
@@ -320,6 +317,14 @@
   }
 }
 
+/**
+ * All controllers' reads of live jobs together take less than half of what the state store serves. No user minds an answer
+ * a moment later, while each read costs this controller as much as several answers.
+ */
+function liveJobReadGapMs({ clusterSize, stateStoreRps }: Platform): number {
+  return Math.max(MIN_READ_GAP_MS, (1000 * clusterSize) / (stateStoreRps * LIVE_JOB_READ_SHARE));
+}
+
 /** Each controller's zone, ours included. */
 function controllerZones({ node, zone, peers }: Platform): ReadonlyMap<string, string> {
   return new Map([[node, zone], ...peers.map((peer): [string, string] => [peer.name, peer.zone])]);
@@ -345,21 +350,21 @@
   const workerHttp = new HttpClient(2);
   const onError = (error: Error): void => log.error(String(error.stack ?? error));
   const links = new PeerLinks({
-    listen: platform.peerListen,
+    listen: platform.peerListenAddress,
     peers: platform.peers,
     clock,
     greeting: encodePeerMessage({ kind: "hello", from: platform.node, version: PEER_PROTOCOL_VERSION }),
-    onLink: () => running.onLink(),
+    onLink: () => running.acceptPeerLink(),
     onRefused: (peer, standing) => running.onPeerRefused(peer, standing),
     onBadLink: (reason) => log.error(reason),
     onError,
   });
   const running: Controller = new Controller(platform, operator, {
     clock,
-    state: stateHttp,
-    cloud: cloudHttp,
-    workers: workerHttp,
-    peers: links,
+    stateStoreHttp: stateHttp,
+    cloudHttp: cloudHttp,
+    workerHttp: workerHttp,
+    peerPort: links,
     incarnation: processIdentity(Math.random),
     random: Math.random,
   });
@@ -368,16 +373,16 @@
   // Until it has a leader's grant a new process could only turn workers away. After a crash of all controllers hundreds of
   // them come to it each second: refused by the kernel they cost it nothing, answered they took the time that the grant
   // needed.
-  await running.mayServe(START_WAIT_MS);
+  await running.waitForFirstGrant(START_WAIT_MS);
   const server: Server = await startHttpServer({
-    listen: platform.listen,
+    listen: platform.listenAddress,
     maxBodyBytes: MAX_BODY,
     // Leave some for the state service, the cloud, workers and peers.
     maxConnections: Math.max(8, sockets - Math.min(200, Math.floor(sockets / 4))),
-    handler: (request, reply) => running.onRequest(request, reply),
+    handler: (request, reply) => running.handleRequest(request, reply),
     onError,
   });
-  log.info(`serving on ${platform.listen}, peers on ${platform.peerListen}`);
+  log.info(`serving on ${platform.listenAddress}, peers on ${platform.peerListenAddress}`);
   return {
     stop: () => {
       running.stop();
--- a/src/coordination/admission/admission.ts
+++ b/src/coordination/admission/admission.ts
@@ -26,7 +26,7 @@
   | { kind: "task counts"; jobs: { id: string; done: number; running: number }[] };
 
 export interface AdmissionOptions {
-  state: StateStoreClient;
+  stateStore: StateStoreClient;
   clock: Clock;
   teams: Team[];
   valueBytes: number;
@@ -150,7 +150,7 @@
         ? { status: 422, body: { error: never } }
         : { status: 400, body: { error: "the description is too long to be kept" } };
     }
-    const outcome = await this.options.state.compareAndSwap(
+    const outcome = await this.options.stateStore.compareAndSwap(
       [
         { key: keys.head(spec.id), version: 0 },
         { key: keys.final(spec.id), version: 0 },
@@ -197,7 +197,7 @@
     if (!(await this.options.liveJobs.refresh(deadlineMs))) return "failed";
     const live = this.options.liveJobs.liveJob(id);
     if (live) return live;
-    const over = await this.options.state.get(keys.final(id), deadlineMs);
+    const over = await this.options.stateStore.get(keys.final(id), deadlineMs);
     if (over.kind === "failed") return "failed";
     if (over.kind === "found") {
       const final = decodeFinal(over.item.value);
@@ -208,7 +208,7 @@
       return { final };
     }
     // A live record that can't be read is not absent.
-    const unreadable = await this.options.state.get(keys.head(id), deadlineMs);
+    const unreadable = await this.options.stateStore.get(keys.head(id), deadlineMs);
     return unreadable.kind === "absent" ? "absent" : "failed";
   }
 
@@ -247,7 +247,7 @@
       if ("final" in known) return { status: 200, body: encodeJobPhase(id, phaseOf(known.final)) };
       if (known.head.cancelledAt !== null) return this.knownAnswer(id, known);
       const head: JobHead = { ...known.head, cancelledAt: this.options.clock.wallTime() };
-      const outcome = await this.options.state.compareAndSwap(
+      const outcome = await this.options.stateStore.compareAndSwap(
         [{ key: keys.head(id), version: known.version }],
         [{ put: keys.head(id), value: encodeHead(head) }],
         deadline,
--- a/src/coordination/consolidation/consolidationRounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -44,14 +44,17 @@
   runRound(now: number): void {
     this.lastRoundMs = now;
     if (this.plannedMoves || now - this.context.lease.startedMs < 2 * this.context.heartbeatS * 1000) return;
-    const { degrad, violate, moveCap, elapseS } = this.context.operator;
+    const { highLoadShare, overloadShare, maxMovesPerRound, roundIntervalS } = this.context.operator;
     const refs: Attempt[] = [];
     const machines: MeasuredMachine[] = [];
     for (const machine of this.context.machines.values()) {
       if (machine.state !== "up" || !machine.type) continue;
       const requestedLoad = loadOf(machine.used, machine.type);
       // Most machines are in the inner rings and use what they were asked to: neither squeeze nor release looks there.
-      if (loadLevelOf(requestedLoad, degrad) !== "low" && machine.listedTasks.length <= machine.attempts.size)
+      if (
+        loadLevelOf(requestedLoad, highLoadShare) !== "low" &&
+        machine.listedTasks.length <= machine.attempts.size
+      )
         continue;
       // A late report would move tasks that have already left.
       const fresh = now - machine.lastContactMs < this.context.heartbeatS * 1500;
@@ -71,7 +74,7 @@
         const young =
           attempt.runningMs === null
             ? attempt.phase === "fetching"
-            : now - attempt.runningMs < elapseS * 1000;
+            : now - attempt.runningMs < roundIntervalS * 1000;
         const isMovable =
           whole &&
           attempt.stop === null &&
@@ -97,9 +100,15 @@
         requestedLoad,
       });
     }
-    const moves = planMerges(machines, { degrad, moveCap });
-    if (moves.length < moveCap) {
-      moves.push(...planOffloads(machines, { degrad, violate, moveCap: moveCap - moves.length }));
+    const moves = planMerges(machines, { degrad: highLoadShare, moveCap: maxMovesPerRound });
+    if (moves.length < maxMovesPerRound) {
+      moves.push(
+        ...planOffloads(machines, {
+          degrad: highLoadShare,
+          violate: overloadShare,
+          moveCap: maxMovesPerRound - moves.length,
+        }),
+      );
     }
     if (moves.length === 0) return;
     this.plannedMoves = moves;
@@ -132,7 +141,7 @@
       if (!attempt || attempt.stop || !attempt.machine.attempts.has(attempt)) continue;
       log.info(`moving ${attempt.job.id}/${attempt.task} from ${mv.from} to ${mv.to}`);
       this.preferredMachines.set(attempt.job.id, { machine: mv.to, untilMs: now + 5000 });
-      attempt.job.avoidedUntilMs.set(mv.from, now + this.context.operator.elapseS * 2000);
+      attempt.job.avoidedUntilMs.set(mv.from, now + this.context.operator.roundIntervalS * 2000);
       this.context.attempts.stopGracefully(attempt);
     }
     this.attemptsToMove.clear();
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -120,7 +120,7 @@
     writer.resume();
     this.handOverIfOverloaded(nowMs);
     supervisor.superviseAll(nowMs);
-    if (nowMs - rounds.lastRoundMs > operator.elapseS * 1000) rounds.runRound(nowMs);
+    if (nowMs - rounds.lastRoundMs > operator.roundIntervalS * 1000) rounds.runRound(nowMs);
     cycles.requestCycle();
     if (jobRecords.obsoleteKeys.size > 0) writes.requestWrite(DEFERRED_WRITE_MS);
   }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,8 @@
 import { readFileSync } from "node:fs";
 import { parseArgs } from "node:util";
 import { loadOperator } from "./settings/operator.js";
-import { loadPlatform, SettingsError } from "./settings/platform.js";
+import { loadPlatform } from "./settings/platform.js";
+import { SettingsError } from "./settings/settingsError.js";
 import { systemClock } from "./transport/clock.js";
 import { log, configureLog } from "./transport/log.js";
 
@@ -69,7 +70,7 @@
       return -1;
     }
     case "job": {
-      const { runJobCall } = await import("./client.js");
+      const { runJobCall } = await import("./cli/jobCommand.js");
       const [call, what, ...more] = rest;
       if (call !== "submit" && call !== "show" && call !== "cancel") {
         throw new UsageError("job takes submit, show or cancel");
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -118,7 +118,7 @@
     let servedMs = Infinity;
     void world
       .controllerOf(name)
-      .mayServe(WITHIN_MS)
+      .waitForFirstGrant(WITHIN_MS)
       .then(() => (servedMs = world.clock.nowMs()));
     await world.run(4);
     return servedMs - bootedMs;
--- a/test/fakes/region.ts
+++ b/test/fakes/region.ts
@@ -42,8 +42,8 @@
   return {
     node: name,
     zone: zoneOf(name),
-    listen: `${name}:80`,
-    peerListen: `${name}:81`,
+    listenAddress: `${name}:80`,
+    peerListenAddress: `${name}:81`,
     peers: nodes.filter((n) => n !== name).map((n) => ({ name: n, zone: zoneOf(n), address: `${n}:81` })),
     cloudAddress: "cloud:1",
     stateStoreAddress: "state:1",
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -42,7 +42,7 @@
 function deliver(to: SimNode, life: string, from: string, frame: Buffer): void {
   let link = to.links.get(life);
   if (!link) {
-    link = to.controller.onLink();
+    link = to.controller.acceptPeerLink();
     link(encodePeerMessage({ kind: "hello", from, version: PEER_PROTOCOL_VERSION }));
     to.links.set(life, link);
   }
@@ -196,10 +196,10 @@
             };
           },
         },
-        state: caller,
-        cloud: caller,
-        workers: caller,
-        peers: {
+        stateStoreHttp: caller,
+        cloudHttp: caller,
+        workerHttp: caller,
+        peerPort: {
           send: (peer, payload) => {
             if (!node.alive || this.clock.nowMs() < this.noLinksUntilMs) return false;
             const copy = Buffer.from(payload);
@@ -223,7 +223,7 @@
       const body = Buffer.from(q.body === undefined ? "" : JSON.stringify(q.body));
       thawed(() => {
         if (!node.alive) return;
-        node.controller.onRequest({ method: q.method, path: q.path, body }, (a) => {
+        node.controller.handleRequest({ method: q.method, path: q.path, body }, (a) => {
           if (node.alive) answer({ status: a.status, body: a.body });
         });
       });
@@ -281,7 +281,7 @@
 
   /** A link that comes in at that node, from wherever. */
   link(name: string): (frame: Buffer) => string | null {
-    return this.nodes.get(name)!.controller.onLink();
+    return this.nodes.get(name)!.controller.acceptPeerLink();
   }
 
   /** As a user, at a node that is up, or at this one. */
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -120,7 +120,7 @@
       encoding: "utf8",
     });
     assert.equal(missing.status, 2);
-    assert.match(missing.stderr, /none\.toml: ENOENT[^\n]+\n$/);
+    assert.match(missing.stderr, /none\.toml: no such file\. --config takes [^\n]+\n$/);
   } finally {
     rmSync(folder, { recursive: true });
   }
@@ -132,8 +132,8 @@
     '<lichenturn><magnet degrad="0.7" moveCap="2"/><fleet idleKeepS="30"/></lichenturn>',
   );
   assert.deepEqual(
-    [set.degrad, set.moveCap, set.idleKeepS, set.violate],
-    [0.7, 2, 30, operatorDefaults.violate],
+    [set.highLoadShare, set.maxMovesPerRound, set.idleKeepS, set.overloadShare],
+    [0.7, 2, 30, operatorDefaults.overloadShare],
   );
   for (const [text, want] of [
     ["<lichenturn", /not XML/],
