--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -6,7 +6,9 @@
   planMerges,
   type LoadedMachine,
   type LoadedTask,
+  type Move,
 } from "../src/coordination/consolidation/machineMerging.js";
+import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
 test("rings: [0, degrad/2) outer, [degrad/2, degrad) secondary, the rest inner", () => {
   for (const [load, ring] of [
@@ -158,3 +160,38 @@
     "the largest first",
   );
 });
+
+function randomMachine(random: SeededRandom, name: string): MeasuredMachine {
+  const tasks = Array.from({ length: random.below(5) }, () => {
+    const allowed = random.below(3);
+    return task(1 + random.below(random.pick([6, 40])), {
+      ref: random.below(1_000_000),
+      memoryGb: random.below(10),
+      isMovable: random.chance(0.85),
+      canMoveTo: (to) => allowed === 0 || to.charCodeAt(to.length - 1) % 3 !== 0,
+    });
+  });
+  const requestedLoad = tasks.reduce((sum, { cpus }) => sum + cpus, 0) / 100;
+  return {
+    ...machine(name, tasks, random.chance(0.9)),
+    requestedLoad,
+    measuredLoad: requestedLoad + (random.chance(0.3) ? random.below(90) / 100 : 0),
+  };
+}
+
+test("moves between randomly loaded machines are the ones that were recorded", () => {
+  const cases: { seed: number; machines: number; merges: string; offloads: string }[] = [
+    { seed: 1, machines: 12, merges: "4 2dc43bc4fb0326d7", offloads: "0 4f53cda18c2baa0c" },
+    { seed: 2, machines: 40, merges: "13 831244e970ed95c7", offloads: "5 3030569ef41f5a81" },
+    { seed: 3, machines: 200, merges: "60 cc8b11ec6fa004f4", offloads: "19 c06194b1bb974359" },
+    { seed: 4, machines: 600, merges: "60 78d16fb4caffcafa", offloads: "37 0e689011d25becbd" },
+  ];
+  for (const { seed, machines, ...want } of cases) {
+    const random = seededRandom(seed);
+    const loaded = Array.from({ length: machines }, (_, i) => randomMachine(random, `host-${i}`));
+    const merges = planMerges(loaded, { degrad: 0.8, moveCap: 60 });
+    const offloads = planOffloads(loaded, { degrad: 0.8, violate: 0.89, moveCap: 60 });
+    const listing = (moves: Move[]): string => `${moves.length} ${digestOf(moves)}`;
+    assert.deepEqual({ merges: listing(merges), offloads: listing(offloads) }, want, `seed ${seed}`);
+  }
+});
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -3,6 +3,7 @@
 import { serveOrder, completionTargetsS, type QueueEntry } from "../src/coordination/scheduling/queue.js";
 import { cycleGapMs } from "../src/coordination/scheduling/scheduler.js";
 import type { Job } from "../src/bookkeeping/workload.js";
+import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
 let since = 0;
 function entry(
@@ -113,6 +114,58 @@
   }
 });
 
+function randomEntry(random: SeededRandom, index: number): QueueEntry {
+  const targets = Array.from({ length: random.below(4) }, () => random.below(120) - 20);
+  const isStarving = random.chance(0.1);
+  const spec = {
+    team: random.pick(["one", "two", "three"]),
+    kind: random.pick(["array", "array", "gang", "service"]),
+    cpus: random.pick([1, 2, 4]),
+    gpus: random.pick([0, 0, 1]),
+    tasks: 1 + random.below(300),
+  };
+  return {
+    ...entry(
+      `job-${index}`,
+      1 + random.below(500),
+      targets.sort((a, b) => a - b),
+    ),
+    job: { spec } as Job,
+    priority: random.below(4),
+    isGuaranteed: random.chance(0.4),
+    needsGpus: spec.gpus > 0,
+    isStarving,
+    isStartOverdue: isStarving && random.chance(0.5),
+    isLate: random.chance(0.15),
+    unfinishedTasks: 1 + random.below(300),
+    demand: 1 + random.below(60),
+    taskS: 1 + random.below(30),
+    acceptedAtMs: random.below(50),
+  };
+}
+
+test("the order of randomly built queues is the one that was recorded", () => {
+  const cases: { seed: number; entries: number; room: number; want: string }[] = [
+    { seed: 1, entries: 10, room: 20, want: "5276302f3a5f7f40" },
+    { seed: 2, entries: 60, room: 10, want: "3284e778d883508c" },
+    { seed: 3, entries: 60, room: 200, want: "b822e3d648d8e7a4" },
+    { seed: 4, entries: 200, room: 40, want: "b9c1c9ef1a7bec33" },
+    { seed: 5, entries: 200, room: 1000, want: "1dae789937b540f3" },
+    { seed: 6, entries: 400, room: 100, want: "bf203da96a2115ab" },
+  ];
+  for (const { seed, entries, room, want } of cases) {
+    const random = seededRandom(seed);
+    const queue = Array.from({ length: entries }, (_, i) => randomEntry(random, i));
+    const order = serveOrder(
+      queue,
+      (priority, gpus) => room / (1 + priority) / (gpus ? 4 : 1),
+      (team) => (team === "one" ? room / 3 : room),
+    );
+    const result = order.map((e) => [e.id, e.taskLimit, e.fairShareTasks]);
+    assert.equal(digestOf(result), want, `seed ${seed}`);
+  }
+});
+
 test("targets come from the job's own deadline and its class's objectives", () => {
   const o = (kind: string, className: string | null, withinS: number | null, times = 1) => ({
     kind,
