--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -87,27 +87,27 @@
  * 12 s ran out before it and the returning ones had answered them all.
  */
 test("the sole survivor of a crash of all other controllers leads within two seconds", async () => {
-  const world = new World(7, { size: 5 });
+  const world = new World(7, { controllerCount: 5 });
   await world.run(10);
   const old = world.leader!;
-  const survivor = world.names.find((name) => name !== old)!;
-  for (const name of world.names) if (name !== survivor) world.crash(name, 5000);
+  const survivor = world.controllers.names.find((name) => name !== old)!;
+  for (const name of world.controllers.names) if (name !== survivor) world.controllers.crash(name, 5000);
   await world.run(2);
   assert.equal(world.leader, survivor);
   await world.run(20);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 test("a leader that writes nothing keeps its lease while all links between controllers are refused", async () => {
-  const world = new World(8, { size: 5 });
+  const world = new World(8, { controllerCount: 5 });
   await world.run(12);
   const { leader } = world;
-  world.noLinksUntilMs = world.clock.nowMs() + 6000;
-  for (const name of world.names) world.refuse(name, 0);
+  world.controllers.peerLinksDownUntilMs = world.clock.nowMs() + 6000;
+  for (const name of world.controllers.names) world.controllers.reportPeerRefused(name, 0);
   await world.run(6);
   assert.equal(world.leader, leader);
   await world.run(20);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 /** Until it serves, the kernel refuses connections: neither workers nor users wait for a process that can't answer them. */
@@ -116,7 +116,7 @@
   async function servedAfterMs(world: World, name: string): Promise<number> {
     const bootedMs = world.clock.nowMs();
     let servedMs = Infinity;
-    void world
+    void world.controllers
       .controllerOf(name)
       .waitForFirstGrant(WITHIN_MS)
       .then(() => (servedMs = world.clock.nowMs()));
@@ -127,17 +127,17 @@
   test("as soon as it has the leader's grant", async () => {
     const world = new World(9);
     await world.run(5);
-    const name = world.names.find((n) => n !== world.leader)!;
-    world.crash(name, 500);
+    const name = world.controllers.names.find((n) => n !== world.leader)!;
+    world.controllers.crash(name, 500);
     await world.run(0.501);
     const afterMs = await servedAfterMs(world, name);
     assert.ok(afterMs > 0 && afterMs < 1200, `after ${afterMs} ms`);
   });
 
   test("as soon as it leads and has read the records", async () => {
-    const world = new World(9, { size: 1 });
+    const world = new World(9, { controllerCount: 1 });
     await world.run(5);
-    world.crash("n0", 500);
+    world.controllers.crash("n0", 500);
     await world.run(0.501);
     const afterMs = await servedAfterMs(world, "n0");
     assert.ok(afterMs > 0 && afterMs < 1200, `after ${afterMs} ms`);
@@ -146,8 +146,8 @@
   test("after a while, when there is no leader to be had", async () => {
     const world = new World(9);
     await world.run(5);
-    world.state.outage(20_000);
-    for (const name of world.names) world.crash(name, 500);
+    world.stateStore.startOutage(20_000);
+    for (const name of world.controllers.names) world.controllers.crash(name, 500);
     await world.run(0.501);
     assert.equal(await servedAfterMs(world, "n1"), WITHIN_MS);
   });
--- a/test/fair.test.ts
+++ b/test/fair.test.ts
@@ -13,12 +13,12 @@
  * long. The largest must begin within four minutes, and the small ones must not stand still for it.
  */
 test("a gang of 32 whole machines in one zone begins under a steady stream of small gangs", async () => {
-  const world = new World(21, { size: 5, capacity: 44, limits: ROOMY });
+  const world = new World(21, { controllerCount: 5, capacity: 44, limits: ROOMY });
   await world.run(3);
   const gang = { form: "ensemble", gpus: 2, cores: 8, memoryGb: 30, together: true, cairnS: 2, stashS: 1 };
   let n = 0;
   const small = (): void => {
-    world.submit({ ...gang, ref: `job-1${String(n++).padStart(5, "0")}`, crew: "two", spores: 1 }, 12);
+    world.users.submit({ ...gang, ref: `job-1${String(n++).padStart(5, "0")}`, crew: "two", spores: 1 }, 12);
   };
   for (let i = 0; i < 44; i++) small();
   await world.run(6);
@@ -26,36 +26,36 @@
     for (let k = 0; k < 3; k++) small();
     await world.run(1);
   }
-  const big = world.submit({ ...gang, ref: "job-000032", crew: "one", spores: 32 }, 10);
-  for (let s = 0; s < 240 && big.beganMs === null; s++) {
+  const big = world.users.submit({ ...gang, ref: "job-000032", crew: "one", spores: 32 }, 10);
+  for (let s = 0; s < 240 && big.firstStartAtMs === null; s++) {
     for (let i = 0; i < 3; i++) small();
     await world.run(1);
   }
-  assert.ok(big.beganMs !== null, "began within four minutes");
-  assert.deepEqual(world.broken, []);
+  assert.ok(big.firstStartAtMs !== null, "began within four minutes");
+  assert.deepEqual(world.violations, []);
   await world.run(45);
-  const jobs = [...world.jobs.values()];
-  const begun = jobs.filter((j) => j.beganMs !== null).length;
+  const jobs = [...world.users.jobs.values()];
+  const begun = jobs.filter((j) => j.firstStartAtMs !== null).length;
   assert.ok(begun * 2 > jobs.length, `${begun} of ${jobs.length} begun`);
-  assert.equal(big.told, "done");
+  assert.equal(big.finalPhase, "done");
 });
 
 /** In order of arrival, the first of a guest's large arrays took all the free room until it was over. */
 test("a team's arrays without targets share the room, and what one leaves is for the others", async () => {
-  const w = new World(26, { size: 3, capacity: 8 });
+  const w = new World(26, { controllerCount: 3, capacity: 8 });
   await w.run(3);
   const array = { crew: "two", rank: "best_effort", cores: 1, memoryGb: 1 };
-  const large = [0, 1, 2].map((i) => w.submit({ ref: `job-00000${i}`, ...array, spores: 150 }, 12));
-  const small = w.submit({ ref: "job-000009", ...array, spores: 2 }, 12);
+  const large = [0, 1, 2].map((i) => w.users.submit({ ref: `job-00000${i}`, ...array, spores: 150 }, 12));
+  const small = w.users.submit({ ref: "job-000009", ...array, spores: 2 }, 12);
   await w.run(60);
-  const running = large.map((j) => w.live(j.spec.ref).length);
+  const running = large.map((j) => w.fleet.liveTasks(j.spec.ref).length);
   assert.ok(Math.min(...running) >= 5, `running: ${running.join(", ")} of 24`);
-  assert.equal(small.told, "done");
-  for (const j of large.slice(1)) w.cancel(j);
+  assert.equal(small.finalPhase, "done");
+  for (const j of large.slice(1)) w.users.cancel(j);
   await w.run(25);
-  const left = w.live("job-000000").length;
+  const left = w.fleet.liveTasks("job-000000").length;
   assert.ok(left >= 20, `${left} of 24 run once the others are gone`);
-  assert.deepEqual(w.broken, []);
+  assert.deepEqual(w.violations, []);
 });
 
 /**
@@ -67,62 +67,62 @@
   ["standard", 40],
 ] as const) {
   test(`at its team's limit a large gang (${rank}) gets what small tasks of the team leave`, async () => {
-    const w = new World(25, { size: 3, capacity: 60 });
+    const w = new World(25, { controllerCount: 3, capacity: 60 });
     await w.run(3);
     let n = 0;
     const small = (): void => {
-      w.submit({ ref: `job-1${String(n++).padStart(5, "0")}`, spores: 12, cores: 2, memoryGb: 2 }, 5);
+      w.users.submit({ ref: `job-1${String(n++).padStart(5, "0")}`, spores: 12, cores: 2, memoryGb: 2 }, 5);
     };
     for (let i = 0; i < 6; i++) small();
     await w.run(15);
     const gang = { form: "ensemble", spores: 1, cores: 10, memoryGb: 8, rank, together: true };
-    const large = [0, 1, 2].map((i) => w.submit({ ref: `job-00000${i}`, ...gang }, 8));
+    const large = [0, 1, 2].map((i) => w.users.submit({ ref: `job-00000${i}`, ...gang }, 8));
     for (let s = 0; s < 60; s++) {
       if (s % 2) small();
       await w.run(1);
     }
-    const waitedS = large.map((j) => Math.round(((j.beganMs ?? Infinity) - j.askedMs) / 1000));
+    const waitedS = large.map((j) => Math.round(((j.firstStartAtMs ?? Infinity) - j.submittedAtMs) / 1000));
     // A machine has to boot; two of them fit under the limit, the third follows.
     assert.ok(Math.max(...waitedS) < withinS, `begun after ${waitedS.join(", ")} s`);
-    const begun = [...w.jobs.values()].filter((j) => j.beganMs !== null).length;
+    const begun = [...w.users.jobs.values()].filter((j) => j.firstStartAtMs !== null).length;
     assert.ok(begun > 8, `${begun} jobs begun: the small ones go on`);
-    assert.deepEqual(w.broken, []);
+    assert.deepEqual(w.violations, []);
   });
 }
 
 test("an array of 300 tasks begins though smaller ones with nearer deadlines never end", async () => {
-  const world = new World(22, { size: 5, capacity: 10, limits: ROOMY });
+  const world = new World(22, { controllerCount: 5, capacity: 10, limits: ROOMY });
   await world.run(3);
   let n = 0;
   const small = (): void => {
     const ref = `job-1${String(n++).padStart(5, "0")}`;
-    world.submit({ ref, crew: "two", spores: 8, cores: 2, memoryGb: 4, dueS: 30 }, 6);
+    world.users.submit({ ref, crew: "two", spores: 8, cores: 2, memoryGb: 4, dueS: 30 }, 6);
   };
   for (let i = 0; i < 15; i++) small();
   await world.run(15);
-  const big = world.submit(
+  const big = world.users.submit(
     { ref: "job-000300", crew: "one", spores: 300, cores: 2, memoryGb: 4, dueS: 60 },
     6,
   );
-  for (let s = 0; s < 240 && big.beganMs === null; s++) {
+  for (let s = 0; s < 240 && big.firstStartAtMs === null; s++) {
     small();
     if (s % 2) small();
     await world.run(1);
   }
-  assert.ok(big.beganMs !== null, "began within four minutes");
-  assert.deepEqual(world.broken, []);
+  assert.ok(big.firstStartAtMs !== null, "began within four minutes");
+  assert.deepEqual(world.violations, []);
 });
 
 /** Hearing a machine is no proof that it hears us: placed there, work would wait until a lease proves it gone. */
 test("a machine that answers and commands don't reach gets no new work, and is trusted again afterwards", async () => {
-  const world = new World(23, { size: 5, capacity: 4 });
+  const world = new World(23, { controllerCount: 5, capacity: 4 });
   await world.run(3);
   const service = { form: "standing", rank: "prod", cores: 2, windfall: false };
-  world.submit({ ref: "job-000001", ...service, spores: 6, memoryGb: 8 }, null);
+  world.users.submit({ ref: "job-000001", ...service, spores: 6, memoryGb: 8 }, null);
   await world.run(20);
-  const deaf = [...world.workers.values()].find((x) => x.tasks.size > 0)!;
-  const address = deaf.tuft.address;
-  world.net.cut(
+  const deaf = [...world.fleet.workers.values()].find((x) => x.tasks.size > 0)!;
+  const address = deaf.machine.address;
+  world.net.partition(
     () => true,
     (h) => h === address,
     30_000,
@@ -130,52 +130,52 @@
   );
   await world.run(0.5);
   // What is on its way when it falls deaf is lost; whatever comes after that goes elsewhere.
-  const first = world.submit({ ref: "job-000002", crew: "two", spores: 12, cores: 1, memoryGb: 1 }, 2);
+  const first = world.users.submit({ ref: "job-000002", crew: "two", spores: 12, cores: 1, memoryGb: 1 }, 2);
   await world.run(9);
   const late = [];
   for (let i = 0; i < 24; i++) {
     const ref = `job-0001${String(i).padStart(2, "0")}`;
-    late.push(world.submit({ ref, crew: "two", spores: 1, cores: 1, memoryGb: 1 }, 2));
+    late.push(world.users.submit({ ref, crew: "two", spores: 1, cores: 1, memoryGb: 1 }, 2));
     await world.run(0.4);
   }
   await world.run(5);
   for (const j of late) {
     assert.ok(
-      j.beganMs !== null && j.beganMs - j.askedMs < 7500,
-      `${j.spec.ref} began after ${j.beganMs! - j.askedMs} ms`,
+      j.firstStartAtMs !== null && j.firstStartAtMs - j.submittedAtMs < 7500,
+      `${j.spec.ref} began after ${j.firstStartAtMs! - j.submittedAtMs} ms`,
     );
   }
   await world.run(40);
-  assert.equal(first.told, "done");
-  assert.deepEqual(world.broken, []);
-  assert.equal(world.live("job-000001").length, 6);
+  assert.equal(first.finalPhase, "done");
+  assert.deepEqual(world.violations, []);
+  assert.equal(world.fleet.liveTasks("job-000001").length, 6);
 });
 
 /** It answers commands, so starts would succeed there, and die with the lease that no report renews. */
 test("a machine whose reports reach no controller gets no new work, though commands reach it", async () => {
-  const world = new World(24, { size: 5, capacity: 6 });
+  const world = new World(24, { controllerCount: 5, capacity: 6 });
   await world.run(3);
   const accel = { crew: "two", spores: 1, cores: 0.25, breeds: ["accel"], memoryGb: 1, windfall: false };
-  world.submit({ ref: "job-000001", ...accel }, 3);
+  world.users.submit({ ref: "job-000001", ...accel }, 3);
   await world.run(12);
-  const [ref] = [...world.workers].find(([, x]) => x.tuft.breed === "accel")!;
+  const [ref] = [...world.fleet.workers].find(([, x]) => x.machine.type === "accel")!;
   const begun: string[] = [];
   world.onTaskStart = (on, task) => {
-    if (on.tuft.ref === ref) begun.push(task.spore);
+    if (on.machine.id === ref) begun.push(task.name);
   };
-  world.ignoreReports(ref, 60_000);
+  world.controllers.dropHeartbeatResponses(ref, 60_000);
   // Work for this kind of machine alone keeps coming, so that commands keep going there and their answers coming back.
   const late = [];
   for (let i = 0; i < 40; i++) {
-    late.push(world.submit({ ref: `job-0001${String(i).padStart(2, "0")}`, ...accel }, 1));
+    late.push(world.users.submit({ ref: `job-0001${String(i).padStart(2, "0")}`, ...accel }, 1));
     await world.run(0.5);
     // So long it may have been heard before its reports stopped.
     if (i === 12) begun.length = 0;
   }
   assert.deepEqual(begun, [], "nothing began there");
   await world.run(20);
-  for (const j of late) assert.ok(j.done.size === 1, `${j.spec.ref} done`);
-  assert.deepEqual(world.broken, []);
+  for (const j of late) assert.ok(j.doneTasks.size === 1, `${j.spec.ref} done`);
+  assert.deepEqual(world.violations, []);
 });
 
 function type(name: string, cpus: number): MachineType {
@@ -343,31 +343,32 @@
 
 /** A node with too many questions at once sheds some; the same ones each time would be jobs that are forgotten. */
 test("a full node sheds questions, but no job's every time", async () => {
-  const world = new World(33, { size: 5 });
+  const world = new World(33, { controllerCount: 5 });
   await world.run(3);
   const refs = Array.from({ length: 420 }, (_, i) => `job-7${String(i).padStart(5, "0")}`);
-  for (const ref of refs) world.submit({ ref, spores: 1, cores: 0.125, memoryGb: 0.125, crew: "two" }, null);
+  for (const ref of refs)
+    world.users.submit({ ref, spores: 1, cores: 0.125, memoryGb: 0.125, crew: "two" }, null);
   await world.run(25);
   const answered = new Map(refs.map((ref) => [ref, 0]));
   let shed = 0;
   const refused: string[] = [];
   for (let round = 0; round < 20; round++) {
     for (const ref of refs) {
-      void world.ask("GET", `/v1/jobs/${ref}`, undefined, "n0").then((r) => {
+      void world.users.request("GET", `/v1/jobs/${ref}`, undefined, "n0").then((r) => {
         if (r.status === 200) answered.set(ref, answered.get(ref)! + 1);
         else shed++;
       });
     }
     // In the midst of the flood: submissions and cancellations say something new.
     const ref = `job-6${String(round).padStart(5, "0")}`;
-    const body = { ...world.jobs.get(refs[0]!)!.spec, ref };
+    const body = { ...world.users.jobs.get(refs[0]!)!.spec, ref };
     const job = refs[round]!;
-    world.jobs.get(job)!.cancelAsked = true;
+    world.users.jobs.get(job)!.isCancelRequested = true;
     for (const [path, sent] of [
       ["/v1/jobs", body],
       [`/v1/jobs/${job}/cancel`, undefined],
     ] as const) {
-      void world.ask("POST", path, sent, "n0").then((r) => {
+      void world.users.request("POST", path, sent, "n0").then((r) => {
         if (r.status === 503) refused.push(path);
       });
     }
@@ -377,28 +378,29 @@
   assert.deepEqual(refused, [], "no change is refused for questions");
   const worst = Math.min(...answered.values());
   assert.ok(worst >= 3, `each job is answered within 75 s, the worst ${worst} of 20 times`);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
 
 /** Copies of its last report, for ever and at every node, must not keep a machine that is gone alive in anybody's eyes. */
 test("late copies of a lost machine's report neither renew its lease nor bring it back", async () => {
-  const world = new World(34, { size: 5, capacity: 6 });
+  const world = new World(34, { controllerCount: 5, capacity: 6 });
   const sent = new Map<string, unknown>();
-  world.onReport = (body) => sent.set((body as { tuft: string }).tuft, body);
+  world.controllers.onHeartbeat = (body) => sent.set((body as { tuft: string }).tuft, body);
   await world.run(3);
   const service = { form: "standing", rank: "prod", cores: 2, memoryGb: 4, windfall: false };
-  world.submit({ ref: "job-000001", ...service, spores: 4 }, null);
+  world.users.submit({ ref: "job-000001", ...service, spores: 4 }, null);
   await world.run(20);
-  const lost = [...world.workers.values()].find((x) => x.tasks.size > 0)!;
-  const { ref } = lost.tuft;
-  const copy = sent.get(ref)!;
-  world.cloud.take(ref);
+  const lost = [...world.fleet.workers.values()].find((x) => x.tasks.size > 0)!;
+  const { id } = lost.machine;
+  const copy = sent.get(id)!;
+  world.cloud.loseMachine(id);
   for (let i = 0; i < 40; i++) {
-    for (const node of world.names) void world.ask("POST", "/checkin", copy, node).catch(() => undefined);
-    if (i === 25) world.crash(world.leader!, 90);
+    for (const node of world.controllers.names)
+      void world.users.request("POST", "/checkin", copy, node).catch(() => undefined);
+    if (i === 25) world.controllers.crash(world.leader!, 90);
     await world.run(0.5);
   }
-  assert.equal(world.live("job-000001").length, 4, "its tasks run elsewhere, a lease later");
-  assert.ok([...world.workers.keys()].every((name) => name !== ref));
-  assert.deepEqual(world.broken, []);
+  assert.equal(world.fleet.liveTasks("job-000001").length, 4, "its tasks run elsewhere, a lease later");
+  assert.ok([...world.fleet.workers.keys()].every((name) => name !== id));
+  assert.deepEqual(world.violations, []);
 });
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -1,79 +1,106 @@
+/** A clock that the test advances: whole simulated days pass in seconds, the same way each time. */
 import type { Clock, Timer } from "../../src/transport/clock.js";
 
-interface Entry {
+interface ScheduledTimer {
   atMs: number;
+  /** Timers for the same time run in the order in which they were set. */
   order: number;
   run: () => void;
-  off: boolean;
+  isCancelled: boolean;
 }
 
-/** A clock whose hands are turned by the test. Timers run in order of time, then of setting. */
+/** Steady time at the start; not zero, so that a missing time is not taken for it. */
+const START_MS = 1000;
+/** Time of day at steady time zero. */
+const EPOCH_MS = 1_800_000_000_000;
+
+/** Timers run in order of time, then of setting. */
 export class SimClock implements Clock {
-  private now = 1000;
-  private order = 0;
-  private heap: Entry[] = [];
+  private currentMs = START_MS;
+  private nextOrder = 0;
+  private readonly timers = new TimerHeap();
 
   nowMs(): number {
-    return this.now;
+    return this.currentMs;
   }
 
   wallTime(): Date {
-    return new Date(1_800_000_000_000 + this.now);
+    return new Date(EPOCH_MS + this.currentMs);
   }
 
   after(delayMs: number, run: () => void): Timer {
-    const entry: Entry = { atMs: this.now + Math.max(0, delayMs), order: this.order++, run, off: false };
-    this.push(entry);
+    const atMs = this.currentMs + Math.max(0, delayMs);
+    const timer: ScheduledTimer = { atMs, order: this.nextOrder++, run, isCancelled: false };
+    this.timers.push(timer);
     return {
       cancel: () => {
-        entry.off = true;
+        timer.isCancelled = true;
       },
     };
   }
 
-  /** Turns the hands on, letting promises and mailboxes settle after every step. */
-  async advance(ms: number): Promise<void> {
-    const until = this.now + ms;
+  /** Moves time on, letting promises and mailboxes settle after each timer. */
+  async advance(byMs: number): Promise<void> {
+    const untilMs = this.currentMs + byMs;
     await settle();
-    for (let top = this.heap[0]; top && top.atMs <= until; top = this.heap[0]) {
-      this.pop();
-      if (top.off) continue;
-      this.now = Math.max(this.now, top.atMs);
-      top.run();
+    for (let next = this.timers.first(); next && next.atMs <= untilMs; next = this.timers.first()) {
+      this.timers.pop();
+      if (next.isCancelled) continue;
+      this.currentMs = Math.max(this.currentMs, next.atMs);
+      next.run();
       await settle();
     }
-    this.now = until;
+    this.currentMs = untilMs;
   }
+}
+
+/** A binary heap with the timer that is due first on top. */
+class TimerHeap {
+  private readonly items: ScheduledTimer[] = [];
 
-  private less(a: Entry, b: Entry): boolean {
-    return a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order);
+  first(): ScheduledTimer | undefined {
+    return this.items[0];
   }
 
-  private push(entry: Entry): void {
-    const h = this.heap;
-    let i = h.push(entry) - 1;
-    while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!this.less(h[i]!, h[up]!)) break;
-      [h[i], h[up]] = [h[up]!, h[i]!];
-      i = up;
+  push(timer: ScheduledTimer): void {
+    let index = this.items.push(timer) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!this.isBefore(index, parent)) return;
+      this.swap(index, parent);
+      index = parent;
     }
   }
 
-  private pop(): void {
-    const h = this.heap;
-    const last = h.pop()!;
-    if (h.length === 0) return;
-    h[0] = last;
-    let i = 0;
+  /** Removes the first timer; the heap must not be empty. */
+  pop(): void {
+    const last = this.items.pop()!;
+    if (this.items.length === 0) return;
+    this.items[0] = last;
+    let index = 0;
     for (;;) {
-      let least = i;
-      for (const child of [2 * i + 1, 2 * i + 2])
-        if (child < h.length && this.less(h[child]!, h[least]!)) least = child;
-      if (least === i) return;
-      [h[i], h[least]] = [h[least]!, h[i]!];
-      i = least;
+      const least = this.leastOf(index, 2 * index + 1, 2 * index + 2);
+      if (least === index) return;
+      this.swap(index, least);
+      index = least;
+    }
+  }
+
+  private leastOf(parent: number, ...children: number[]): number {
+    let least = parent;
+    for (const child of children) {
+      if (child < this.items.length && this.isBefore(child, least)) least = child;
     }
+    return least;
+  }
+
+  private isBefore(left: number, right: number): boolean {
+    const [first, second] = [this.items[left]!, this.items[right]!];
+    return first.atMs < second.atMs || (first.atMs === second.atMs && first.order < second.order);
+  }
+
+  private swap(left: number, right: number): void {
+    [this.items[left], this.items[right]] = [this.items[right]!, this.items[left]!];
   }
 }
 
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,136 +1,184 @@
+/**
+ * A fake of the cloud's interface, by its published protocol: idempotent requests for machines, lists that lag behind,
+ * limited capacity, outages, and boots that go wrong. Names on the wire are translated here and nowhere else.
+ */
 import type { ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 import type { SimNet, SimRequest } from "./net.js";
 
-export interface SimType {
+/** A machine type that the cloud offers. */
+export interface SimMachineType {
   name: string;
   cores: number;
   gpus: number;
   memoryGb: number;
+  /** Price per hour on demand. */
   price: number;
-  lowPrice: number;
+  /** Price per hour of a spot instance. */
+  spotPrice: number;
+  /** Seconds from the request until the machine's worker starts. */
   bootS: number;
-  patches: string[];
+  zones: string[];
 }
 
-export interface SimTuft {
-  ref: string;
+/** A machine that exists and is paid for. */
+export interface SimMachine {
+  id: string;
+  /** Where its worker listens. */
   address: string;
-  breed: string;
-  patch: string;
-  windfall: boolean;
-  bornMs: number;
+  type: string;
+  zone: string;
+  isSpot: boolean;
+  createdAtMs: number;
   /** Its worker has started. */
-  up: boolean;
+  isUp: boolean;
 }
 
-/** How machines come up that are rented while it lasts. */
-export interface BootTrouble {
+/** How machines boot that are requested while the fault lasts. */
+export interface BootFault {
   /** Times the type's boot time. */
-  factor: number;
+  delayFactor: number;
   /** Share of the machines that never come up. */
   neverShare: number;
 }
 
-/** The cloud by its published protocol: named requests, lagging lists, capacity, outages. */
+/** What the fake cloud needs from its world. */
+export interface SimCloudOptions {
+  clock: SimClock;
+  net: SimNet;
+  random: () => number;
+  /** Where it listens. */
+  address: string;
+  types: SimMachineType[];
+  /** A new machine appears in lists only after this time. */
+  listLagMs: number;
+  /** A machine has booted: its worker starts now. */
+  onBoot: (machine: SimMachine) => void;
+  /** A machine was deleted or lost. */
+  onGone: (machine: SimMachine) => void;
+}
+
+/** Image cache and download rate that every machine type has on the wire. */
+const IMAGE_CACHE = { cacheGb: 40, fetchGbPerS: 1 };
+/** Boot time of a machine whose type is unknown. */
+const DEFAULT_BOOT_S = 5;
+
+/** The cloud: its machines are kept in order of their creation. */
 export class SimCloud {
-  readonly tufts = new Map<string, SimTuft>();
-  private readonly pleas = new Map<string, string[]>();
-  private next = 0;
-  private outageUntilMs = -Infinity;
-  private bootTrouble: (BootTrouble & { untilMs: number }) | null = null;
+  readonly machines = new Map<string, SimMachine>();
+  /** Most machines that may exist at a time. */
   capacity = 12;
+  /** Machines created for each request id: a repeated request gets the same answer and creates none. */
+  private readonly createRequests = new Map<string, string[]>();
+  private nextMachine = 0;
+  private outageUntilMs = -Infinity;
+  private bootFault: (BootFault & { untilMs: number }) | null = null;
 
-  constructor(
-    private readonly clock: SimClock,
-    net: SimNet,
-    readonly address: string,
-    readonly types: SimType[],
-    private readonly lagMs: number,
-    private readonly onBoot: (t: SimTuft) => void,
-    private readonly onGone: (t: SimTuft) => void,
-    private readonly random: () => number,
-  ) {
-    net.listen(address, (q, answer) => answer(this.serve(q)));
+  constructor(private readonly options: SimCloudOptions) {
+    options.net.listen(options.address, (request, respond) => respond(this.serve(request)));
   }
 
-  outage(forMs: number): void {
-    this.outageUntilMs = this.clock.nowMs() + forMs;
+  /** Answers every request with an error for that time. */
+  startOutage(forMs: number): void {
+    this.outageUntilMs = this.nowMs() + forMs;
   }
 
-  /** Machines that are rented from now on come up late, at once or never. */
-  troubleBoots(trouble: BootTrouble, forMs: number): void {
-    this.bootTrouble = { ...trouble, untilMs: this.clock.nowMs() + forMs };
+  /** Machines that are requested in that time come up late, at once or never. */
+  disturbBoots(fault: BootFault, forMs: number): void {
+    this.bootFault = { ...fault, untilMs: this.nowMs() + forMs };
   }
 
-  /** The machine is lost without a word. */
-  take(ref: string): void {
-    const tuft = this.tufts.get(ref);
-    if (!tuft) return;
-    this.tufts.delete(ref);
-    this.onGone(tuft);
+  /** The machine stops without notice; an unknown id is ignored. */
+  loseMachine(id: string): void {
+    const machine = this.machines.get(id);
+    if (!machine) return;
+    this.machines.delete(id);
+    this.options.onGone(machine);
   }
 
-  private serve(q: SimRequest): ClientResponse {
-    if (this.clock.nowMs() < this.outageUntilMs) return { status: 503, body: { error: "trouble" } };
-    const url = new URL(q.path, "http://cloud");
-    const body = q.body as Record<string, unknown>;
-    if (url.pathname === "/flavors") {
-      return {
-        status: 200,
-        body: { breeds: this.types.map((t) => ({ ...t, cacheGb: 40, fetchGbPerS: 1 })) },
-      };
-    }
-    if (url.pathname === "/machines/delete") {
-      for (const ref of body.tufts as string[]) this.take(ref);
-      return { status: 200, body: {} };
-    }
-    if (q.method === "POST") return this.rent(body);
-    const after = url.searchParams.get("after") ?? "";
-    const tufts = [...this.tufts.values()]
-      .filter((t) => t.ref > after && this.clock.nowMs() - t.bornMs > this.lagMs)
-      .map((tuft) => ({
-        ...tuft,
-        phase: tuft.up ? "running" : "starting",
-        ageS: (this.clock.nowMs() - tuft.bornMs) / 1000,
+  private nowMs(): number {
+    return this.options.clock.nowMs();
+  }
+
+  private serve(request: SimRequest): ClientResponse {
+    if (this.nowMs() < this.outageUntilMs) return { status: 503, body: { error: "trouble" } };
+    const url = new URL(request.path, "http://cloud");
+    const body = request.body as Record<string, unknown>;
+    if (url.pathname === "/flavors") return this.listTypes();
+    if (url.pathname === "/machines/delete") return this.deleteMachines(body);
+    if (request.method === "POST") return this.createMachines(body);
+    return this.listMachines(url.searchParams.get("after") ?? "");
+  }
+
+  private listTypes(): ClientResponse {
+    const breeds = this.options.types.map(({ spotPrice, zones, ...type }) => ({
+      ...type,
+      lowPrice: spotPrice,
+      patches: zones,
+      ...IMAGE_CACHE,
+    }));
+    return { status: 200, body: { breeds } };
+  }
+
+  private deleteMachines(body: Record<string, unknown>): ClientResponse {
+    for (const id of body.tufts as string[]) this.loseMachine(id);
+    return { status: 200, body: {} };
+  }
+
+  private listMachines(after: string): ClientResponse {
+    const nowMs = this.nowMs();
+    const tufts = [...this.machines.values()]
+      .filter((machine) => machine.id > after && nowMs - machine.createdAtMs > this.options.listLagMs)
+      .map((machine) => ({
+        ref: machine.id,
+        address: machine.address,
+        breed: machine.type,
+        patch: machine.zone,
+        windfall: machine.isSpot,
+        phase: machine.isUp ? "running" : "starting",
+        ageS: (nowMs - machine.createdAtMs) / 1000,
       }));
     return { status: 200, body: { tufts, more: false } };
   }
 
-  private rent(body: Record<string, unknown>): ClientResponse {
-    const plea = String(body.plea);
-    const known = this.pleas.get(plea);
+  private createMachines(body: Record<string, unknown>): ClientResponse {
+    const requestId = String(body.plea);
+    const known = this.createRequests.get(requestId);
     if (known) return { status: 200, body: { tufts: known } };
-    const names: string[] = [];
-    while (names.length < Number(body.howMany) && this.tufts.size < this.capacity) {
-      const n = this.next++;
-      const tuft: SimTuft = {
-        ref: `host-${String(n).padStart(6, "0")}`,
-        address: `10.1.0.${n}:9000`,
-        breed: String(body.breed),
-        patch: String(body.patch),
-        windfall: body.windfall === true,
-        bornMs: this.clock.nowMs(),
-        up: false,
-      };
-      this.tufts.set(tuft.ref, tuft);
-      names.push(tuft.ref);
-      this.bootLater(tuft);
+    const ids: string[] = [];
+    while (ids.length < Number(body.howMany) && this.machines.size < this.capacity) {
+      ids.push(this.createMachine(body).id);
     }
-    if (names.length === 0) return { status: 503, body: { error: "no capacity" } };
-    this.pleas.set(plea, names);
-    return { status: 200, body: { tufts: names } };
+    if (ids.length === 0) return { status: 503, body: { error: "no capacity" } };
+    this.createRequests.set(requestId, ids);
+    return { status: 200, body: { tufts: ids } };
+  }
+
+  private createMachine(body: Record<string, unknown>): SimMachine {
+    const index = this.nextMachine++;
+    const machine: SimMachine = {
+      id: `host-${String(index).padStart(6, "0")}`,
+      address: `10.1.0.${index}:9000`,
+      type: String(body.breed),
+      zone: String(body.patch),
+      isSpot: body.windfall === true,
+      createdAtMs: this.nowMs(),
+      isUp: false,
+    };
+    this.machines.set(machine.id, machine);
+    this.bootLater(machine);
+    return machine;
   }
 
-  private bootLater(tuft: SimTuft): void {
-    const bootMs = (this.types.find((x) => x.name === tuft.breed)?.bootS ?? 5) * 1000;
-    const now = this.clock.nowMs();
-    const trouble = this.bootTrouble !== null && now < this.bootTrouble.untilMs ? this.bootTrouble : null;
-    if (trouble && this.random() < trouble.neverShare) return;
-    this.clock.after(bootMs * (trouble?.factor ?? 1), () => {
-      if (!this.tufts.has(tuft.ref)) return;
-      tuft.up = true;
-      this.onBoot(tuft);
+  private bootLater(machine: SimMachine): void {
+    const type = this.options.types.find(({ name }) => name === machine.type);
+    const bootMs = (type?.bootS ?? DEFAULT_BOOT_S) * 1000;
+    const fault = this.bootFault !== null && this.nowMs() < this.bootFault.untilMs ? this.bootFault : null;
+    if (fault && this.options.random() < fault.neverShare) return;
+    this.options.clock.after(bootMs * (fault?.delayFactor ?? 1), () => {
+      if (!this.machines.has(machine.id)) return;
+      machine.isUp = true;
+      this.options.onBoot(machine);
     });
   }
 }
--- a/test/fakes/region.ts
+++ b/test/fakes/region.ts
@@ -1,17 +1,31 @@
-/** The region that the fakes stand for: machine types, teams' limits and the settings of each controller. */
+/** The region that the fakes stand for: machine types, teams' limits, addresses, and the settings of each controller. */
 import type { Platform } from "../../src/settings/platform.js";
-import type { SimType } from "./cloud.js";
+import type { SimMachineType } from "./cloud.js";
 
-export const TYPES: SimType[] = [
+export const CLOUD_ADDRESS = "cloud:1";
+export const STATE_STORE_ADDRESS = "state:1";
+export const USER_ADDRESS = "user:1";
+
+/** How often workers send heartbeats, and how long one lets them go on. */
+export const HEARTBEAT_S = 1;
+export const LEASE_S = 8;
+/** New machines appear in the cloud's lists only after this time. */
+export const LIST_LAG_S = 3;
+/** A cancelled job has no task any more this long after its cancellation was confirmed. */
+export const CANCEL_S = 25;
+
+const BOTH_ZONES = ["a", "b"];
+
+export const MACHINE_TYPES: SimMachineType[] = [
   {
     name: "small",
     cores: 4,
     gpus: 0,
     memoryGb: 16,
     price: 0.2,
-    lowPrice: 0.05,
+    spotPrice: 0.05,
     bootS: 3,
-    patches: ["a", "b"],
+    zones: BOTH_ZONES,
   },
   {
     name: "large",
@@ -19,50 +33,74 @@
     gpus: 0,
     memoryGb: 64,
     price: 0.9,
-    lowPrice: 0.2,
+    spotPrice: 0.2,
     bootS: 5,
-    patches: ["a", "b"],
+    zones: BOTH_ZONES,
   },
-  { name: "accel", cores: 8, gpus: 2, memoryGb: 64, price: 3, lowPrice: 1, bootS: 4, patches: ["a", "b"] },
+  { name: "accel", cores: 8, gpus: 2, memoryGb: 64, price: 3, spotPrice: 1, bootS: 4, zones: BOTH_ZONES },
 ];
 
+export type TeamName = "one" | "two";
+
 /** What each team's tasks may use at most. */
-export type Limits = Record<"one" | "two", { cpus: number; gpus: number }>;
-export const LIMITS: Limits = { one: { cpus: 20, gpus: 4 }, two: { cpus: 24, gpus: 4 } };
+export type TeamLimits = Record<TeamName, { cpus: number; gpus: number }>;
+export const TEAM_LIMITS: TeamLimits = { one: { cpus: 20, gpus: 4 }, two: { cpus: 24, gpus: 4 } };
+
+/** The region as the controllers' settings describe it. */
+export interface RegionOptions {
+  /** All controllers' names. */
+  controllers: string[];
+  limits: TeamLimits;
+  /** Each controller's zone, in the same order; "a" where none is given. */
+  zones: string[];
+  objectives: Platform["objectives"];
+}
+
+/** Where that controller serves workers and users. */
+export function controllerAddress(name: string): string {
+  return `${name}:80`;
+}
 
-export function platformOf(name: string, nodes: string[], limits = LIMITS, zones: string[] = []): Platform {
-  const zoneOf = (node: string): string => zones[nodes.indexOf(node)] ?? "a";
-  const team = (n: "one" | "two"): Platform["teams"][number] => ({
-    name: n,
+/** The settings of one controller. */
+export function platformOf(
+  name: string,
+  { controllers, limits, zones, objectives }: RegionOptions,
+): Platform {
+  const zoneOf = (controller: string): string => zones[controllers.indexOf(controller)] ?? "a";
+  const team = (teamName: TeamName): Platform["teams"][number] => ({
+    name: teamName,
     guaranteedCpus: 8,
-    maxCpus: limits[n].cpus,
+    maxCpus: limits[teamName].cpus,
     guaranteedGpus: 2,
-    maxGpus: limits[n].gpus,
+    maxGpus: limits[teamName].gpus,
   });
+  const peers = controllers
+    .filter((controller) => controller !== name)
+    .map((peer) => ({ name: peer, zone: zoneOf(peer), address: `${peer}:81` }));
   return {
     node: name,
     zone: zoneOf(name),
-    listenAddress: `${name}:80`,
+    listenAddress: controllerAddress(name),
     peerListenAddress: `${name}:81`,
-    peers: nodes.filter((n) => n !== name).map((n) => ({ name: n, zone: zoneOf(n), address: `${n}:81` })),
-    cloudAddress: "cloud:1",
-    stateStoreAddress: "state:1",
-    clusterSize: nodes.length,
-    zones: ["a", "b"],
+    peers,
+    cloudAddress: CLOUD_ADDRESS,
+    stateStoreAddress: STATE_STORE_ADDRESS,
+    clusterSize: controllers.length,
+    zones: BOTH_ZONES,
     clockErrorMs: 10,
     teams: [team("one"), team("two")],
-    objectives: [],
-    heartbeatS: 1,
-    leaseS: 8,
+    objectives,
+    heartbeatS: HEARTBEAT_S,
+    leaseS: LEASE_S,
     gangWaitS: 20,
     gangPeerS: 4,
-    cancelS: 25,
+    cancelS: CANCEL_S,
     stateStoreRps: 300,
     stateStoreWriteRps: 60,
     stateStoreValueKb: 8,
     stateStoreTransactionChanges: 20,
     cloudRps: 10,
-    listLagS: 3,
+    listLagS: LIST_LAG_S,
     maxConnections: 500,
   };
 }
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -69,25 +69,31 @@
 /** Their users cancel them in the end; until then they are known, and cost the others nothing. */
 test("jobs submitted with a mistake fail everywhere: little room, no machine blamed, the team's other work goes on", async () => {
   const world = new World(41, { capacity: 10 });
-  world.failing = (ref) => ref.startsWith("job-6");
+  world.fleet.failsEverywhere = (ref) => ref.startsWith("job-6");
   await world.run(3);
   const bad = [0, 1, 2].map((i) =>
-    world.submit({ ref: `job-60000${i}`, crew: "one", spores: 40, cores: 1, memoryGb: 1, rank: "high" }, 5),
+    world.users.submit(
+      { ref: `job-60000${i}`, crew: "one", spores: 40, cores: 1, memoryGb: 1, rank: "high" },
+      5,
+    ),
   );
   await world.run(20);
   const good = [0, 1, 2, 3].map((i) =>
-    world.submit({ ref: `job-50000${i}`, crew: i % 2 ? "one" : "two", spores: 8, cores: 1, memoryGb: 1 }, 4),
+    world.users.submit(
+      { ref: `job-50000${i}`, crew: i % 2 ? "one" : "two", spores: 8, cores: 1, memoryGb: 1 },
+      4,
+    ),
   );
-  const before = world.started;
+  const before = world.startedTasks;
   await world.run(60);
-  for (const j of good) assert.equal(j.told, "done", `${j.spec.ref} in time`);
-  assert.ok(world.started - before < 32 + 3 * 2 * 20, `${world.started - before} starts`);
-  const rented = world.cloud.tufts.size;
+  for (const j of good) assert.equal(j.finalPhase, "done", `${j.spec.ref} in time`);
+  assert.ok(world.startedTasks - before < 32 + 3 * 2 * 20, `${world.startedTasks - before} starts`);
+  const rented = world.cloud.machines.size;
   assert.ok(rented <= 6, `${rented} machines for it`);
-  for (const j of bad) world.cancel(j);
+  for (const j of bad) world.users.cancel(j);
   await world.run(15);
-  for (const j of bad) assert.equal(j.told, "withdrawn");
-  assert.deepEqual(world.broken, []);
+  for (const j of bad) assert.equal(j.finalPhase, "withdrawn");
+  assert.deepEqual(world.violations, []);
 });
 
 test("what began late with a task or two isn't stopped for a while; what has many, ended one, or ran long may be", () => {
--- a/test/heartbeatServer.test.ts
+++ b/test/heartbeatServer.test.ts
@@ -40,9 +40,9 @@
 
 /** Lost on the way to the leader, a worker's last word came again as one that the leader took for old, for ever. */
 test("what is lost between two controllers is told again, and every job comes to its end", async () => {
-  const world = new World(35, { size: 5, capacity: 6 });
+  const world = new World(35, { controllerCount: 5, capacity: 6 });
   await world.run(3);
-  world.submit(
+  world.users.submit(
     { ref: "job-000000", form: "standing", rank: "prod", spores: 4, cores: 1, windfall: false },
     null,
   );
@@ -50,14 +50,14 @@
   const late = [];
   for (let i = 0; i < 10; i++) {
     const ref = `job-0001${String(i).padStart(2, "0")}`;
-    const job = world.submit({ ref, crew: i % 2 ? "one" : "two", spores: 3, cores: 1, memoryGb: 1 }, 2);
+    const job = world.users.submit({ ref, crew: i % 2 ? "one" : "two", spores: 3, cores: 1, memoryGb: 1 }, 2);
     // Its end falls into a moment without links, shorter than a grant; nothing new comes to its machines after that.
-    while (job.beganMs === null) await world.run(0.1);
+    while (job.firstStartAtMs === null) await world.run(0.1);
     await world.run(1.7);
-    world.noLinksUntilMs = world.clock.nowMs() + 1700;
+    world.controllers.peerLinksDownUntilMs = world.clock.nowMs() + 1700;
     await world.run(14);
-    if (job.told !== "done") late.push(ref);
+    if (job.finalPhase !== "done") late.push(ref);
   }
   assert.deepEqual(late, []);
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/large.test.ts
+++ b/test/large.test.ts
@@ -6,33 +6,33 @@
 test("an array of several chunks, with the leader lost in between", async () => {
   const world = new World(5);
   await world.run(3);
-  const job = world.submit({ ref: "job-000001", spores: 600, cores: 0.5, memoryGb: 0.5 }, 1);
-  world.clock.after(14_000, () => world.crash(world.leader ?? "n0", 2000));
+  const job = world.users.submit({ ref: "job-000001", spores: 600, cores: 0.5, memoryGb: 0.5 }, 1);
+  world.clock.after(14_000, () => world.controllers.crash(world.controllers.leaderOrFirst, 2000));
   await world.run(75);
-  assert.deepEqual(world.broken, []);
-  assert.equal(job.told, "done");
-  assert.equal(job.done.size, 600);
+  assert.deepEqual(world.violations, []);
+  assert.equal(job.finalPhase, "done");
+  assert.equal(job.doneTasks.size, 600);
   await world.run(10);
-  const left = [...world.state.keys.keys()].filter((k) => k.includes("job-000001"));
+  const left = [...world.stateStore.entries.keys()].filter((k) => k.includes("job-000001"));
   assert.deepEqual(left, ["f/job-000001"]);
 });
 
 test("an array of 100,000 tasks begins, and is gone once it is cancelled", async () => {
   const world = new World(6);
   await world.run(3);
-  const job = world.submit({ ref: "job-000002", spores: 100_000, cores: 0.5, memoryGb: 0.5 }, 5);
+  const job = world.users.submit({ ref: "job-000002", spores: 100_000, cores: 0.5, memoryGb: 0.5 }, 5);
   await world.run(25);
-  assert.ok(world.live("job-000002").length >= 20, "as many run as the team's limit allows");
-  for (const [key, entry] of world.state.keys) {
-    assert.ok(JSON.stringify(entry.data).length < 8 * 1024, `${key} fits`);
+  assert.ok(world.fleet.liveTasks("job-000002").length >= 20, "as many run as the team's limit allows");
+  for (const [key, entry] of world.stateStore.entries) {
+    assert.ok(JSON.stringify(entry.value).length < 8 * 1024, `${key} fits`);
   }
-  world.cancel(job);
+  world.users.cancel(job);
   await world.run(12);
-  assert.equal(job.told, "withdrawn");
-  assert.equal(world.live("job-000002").length, 0);
+  assert.equal(job.finalPhase, "withdrawn");
+  assert.equal(world.fleet.liveTasks("job-000002").length, 0);
   assert.deepEqual(
-    [...world.state.keys.keys()].filter((k) => k.includes("job-000002")),
+    [...world.stateStore.entries.keys()].filter((k) => k.includes("job-000002")),
     ["f/job-000002"],
   );
-  assert.deepEqual(world.broken, []);
+  assert.deepEqual(world.violations, []);
 });
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -34,7 +34,9 @@
   Array.from({ length: times }, (_, i) => [fromS + i * everyS, trouble]);
 
 const someHosts = (world: World, count: number): ((host: string) => boolean) => {
-  const hosts = new Set([...world.workers.values()].slice(0, Math.ceil(count)).map((x) => x.tuft.address));
+  const hosts = new Set(
+    [...world.fleet.workers.values()].slice(0, Math.ceil(count)).map((x) => x.machine.address),
+  );
   return (h) => hosts.has(h);
 };
 
@@ -42,23 +44,23 @@
 const lose =
   (share: number, forMs: number): Trouble =>
   (world) =>
-    world.net.cut(someHosts(world, world.workers.size * share), () => true, forMs);
+    world.net.partition(someHosts(world, world.fleet.workers.size * share), () => true, forMs);
 
 /** What machines say is held, what they are told is not. */
 const holdReports =
   (count: number, forMs: number): Trouble =>
   (world) =>
-    world.net.cut(someHosts(world, count), () => true, forMs, true);
+    world.net.partition(someHosts(world, count), () => true, forMs, true);
 
 /** Tasks of a job end one after the other, far apart. */
 const farApart: Trouble = (world) => {
   for (let i = 0; i < 8; i++) {
     const crew = i % 2 ? "one" : "two";
-    const job = world.submit(
+    const job = world.users.submit(
       { ref: `job-70000${i}`, crew, spores: 2 + (i % 2), cores: 1, memoryGb: 2 },
       3 + i,
     );
-    job.stepS = 9;
+    job.runStepS = 9;
   }
 };
 
@@ -67,9 +69,9 @@
   for (let i = 0; i < 8; i++) {
     const where = i % 2 ? { patch: i % 4 === 1 ? "a" : "b" } : { together: true };
     const crew = i % 3 ? "one" : "two";
-    world.submit({ ref: `job-71000${i}`, crew, spores: 3, cores: 2, ...where }, 12 + 3 * i);
+    world.users.submit({ ref: `job-71000${i}`, crew, spores: 3, cores: 2, ...where }, 12 + 3 * i);
     const gang = { form: "ensemble", spores: 2, cores: 2, rank: "high", cairnS: 2 };
-    world.submit({ ref: `job-72000${i}`, crew, ...gang, ...where }, 10 + 2 * i);
+    world.users.submit({ ref: `job-72000${i}`, crew, ...gang, ...where }, 10 + 2 * i);
   }
 };
 
@@ -78,7 +80,7 @@
   for (let i = 0; i < 24; i++) {
     const crew = i % 2 ? "one" : "two";
     const rank = ["best_effort", "standard", "high", "prod"][i % 4]!;
-    world.submit(
+    world.users.submit(
       { ref: `job-73${String(i).padStart(4, "0")}`, crew, rank, spores: 6, cores: 2 },
       4 + (i % 5),
     );
@@ -88,7 +90,7 @@
 const takeSome =
   (from: number, to: number): Trouble =>
   (world) =>
-    [...world.workers.keys()].slice(from, to).forEach((n) => world.cloud.take(n));
+    [...world.fleet.workers.keys()].slice(from, to).forEach((n) => world.cloud.loseMachine(n));
 
 /**
  * Most rules that were seen broken broke when two troubles met: each row brings one such meeting about. On the sources
@@ -101,12 +103,12 @@
     repeat: 0.05,
     long: 8,
     at: [
-      [16, (w) => w.state.refuse(leaderHost(w), 20_000)],
+      [16, (w) => w.stateStore.refuseHost(leaderHost(w), 20_000)],
       [16.2, (w) => cancelRunning(w, 6)],
-      [17, (w) => w.state.outage(34_000)],
-      [56, (w) => w.state.refuse(leaderHost(w), 14_000)],
+      [17, (w) => w.stateStore.startOutage(34_000)],
+      [56, (w) => w.stateStore.refuseHost(leaderHost(w), 14_000)],
       [56.1, (w) => cancelRunning(w, 6)],
-      [56.9, (w) => w.state.outage(34_000)],
+      [56.9, (w) => w.stateStore.startOutage(34_000)],
     ],
   },
   {
@@ -114,10 +116,10 @@
     grown: true,
     long: 8,
     at: [
-      [16, (w) => w.state.refuse(leaderHost(w), 20_000)],
+      [16, (w) => w.stateStore.refuseHost(leaderHost(w), 20_000)],
       [16.1, (w) => cutOff(w, `${followers(w)[0]}:80`, isPeer, 40_000)],
       [16.3, (w) => cancelRunning(w, 5, 0, followers(w)[0])],
-      [17.2, (w) => w.state.outage(34_000)],
+      [17.2, (w) => w.stateStore.startOutage(34_000)],
     ],
   },
   {
@@ -125,12 +127,12 @@
     grown: true,
     long: 8,
     at: [
-      [16, (w) => w.state.refuse(leaderHost(w), 20_000)],
+      [16, (w) => w.stateStore.refuseHost(leaderHost(w), 20_000)],
       // What controllers would say to each other in that time is lost.
-      [16.05, (w) => (w.noLinksUntilMs = w.clock.nowMs() + 1300)],
+      [16.05, (w) => (w.controllers.peerLinksDownUntilMs = w.clock.nowMs() + 1300)],
       [16.1, (w) => cancelRunning(w, 5, 0, followers(w)[0])],
-      [17.2, (w) => w.crash(followers(w)[0]!, 60)],
-      [18.4, (w) => w.state.outage(38_000)],
+      [17.2, (w) => w.controllers.crash(followers(w)[0]!, 60)],
+      [18.4, (w) => w.stateStore.startOutage(38_000)],
     ],
   },
   {
@@ -138,7 +140,7 @@
     grown: true,
     long: 8,
     at: [
-      [15, (w) => [...w.workers.values()].forEach((x) => x.tasks.size > 0 && x.missCommands(45_000))],
+      [15, (w) => [...w.fleet.workers.values()].forEach((x) => x.tasks.size > 0 && x.dropCommands(45_000))],
       [15.3, (w) => cancelRunning(w, 6)],
     ],
   },
@@ -156,9 +158,9 @@
     long: 4,
     at: [
       ...often(12, 0.7, 4, crashLeader(60)),
-      [20, (w) => w.names.forEach((n, i) => w.crash(n, i === 0 ? 70 : 9000))],
+      [20, (w) => w.controllers.names.forEach((n, i) => w.controllers.crash(n, i === 0 ? 70 : 9000))],
       [20.5, (w) => cancelRunning(w, 3)],
-      [33, (w) => w.names.forEach((n, i) => w.crash(n, i === 1 ? 70 : 700))],
+      [33, (w) => w.controllers.names.forEach((n, i) => w.controllers.crash(n, i === 1 ? 70 : 700))],
     ],
   },
   {
@@ -172,7 +174,7 @@
       [20, holdReports(4, 5000)],
       [21, (w) => cancelRunning(w, 3)],
       [28, (w) => cancelRunning(w, 3, 6500)],
-      [36, (w) => [...w.workers.values()].slice(0, 4).forEach((x) => x.hang(7000))],
+      [36, (w) => [...w.fleet.workers.values()].slice(0, 4).forEach((x) => x.hang(7000))],
       [37, crashLeader(80)],
     ],
   },
@@ -197,12 +199,12 @@
     grown: true,
     long: 8,
     at: [
-      [10, (w) => w.state.slow(1200, 12_000)],
+      [10, (w) => w.stateStore.delayResponses(1200, 12_000)],
       ...often(11, 2, 5, (w) => cancelRunning(w, 1)),
-      [20, (w) => w.state.refuse(leaderHost(w), 10_000)],
+      [20, (w) => w.stateStore.refuseHost(leaderHost(w), 10_000)],
       [20.5, (w) => cancelRunning(w, 2)],
-      [22, (w) => w.state.outage(30_000)],
-      [52.5, (w) => w.state.slow(1500, 12_000)],
+      [22, (w) => w.stateStore.startOutage(30_000)],
+      [52.5, (w) => w.stateStore.delayResponses(1500, 12_000)],
     ],
   },
   {
@@ -241,7 +243,7 @@
     long: 6,
     at: [
       ...often(10, 3.1, 5, crashLeader(90)),
-      [26, (w) => w.state.outage(9000)],
+      [26, (w) => w.stateStore.startOutage(9000)],
       ...often(27, 2.3, 3, crashLeader(200)),
       ...often(37, 4, 4, crashLeader(1500)),
       [38, (w) => cancelRunning(w, 3)],
@@ -265,9 +267,9 @@
     repeat: 0.1,
     work: farApart,
     at: [
-      [8, (w) => w.state.lateWrites(0.3, 8000)],
+      [8, (w) => w.stateStore.delayTransactions(0.3, 8000)],
       ...often(10, 5, 5, crashLeader(90)),
-      [20, (w) => w.state.lateWrites(0.5, 5000)],
+      [20, (w) => w.stateStore.delayTransactions(0.5, 5000)],
     ],
   },
   {
@@ -287,11 +289,11 @@
     repeat: 0.05,
     long: 6,
     at: [
-      [6, (w) => w.state.lateWrites(0.35, 20_000)],
+      [6, (w) => w.stateStore.delayTransactions(0.35, 20_000)],
       [14, crashLeader(90)],
       [15, (w) => cancelRunning(w, 4)],
       [21, crashLeader(3000)],
-      [30, (w) => w.state.lateWrites(0.6, 12_000)],
+      [30, (w) => w.stateStore.delayTransactions(0.6, 12_000)],
       [33, (w) => cancelRunning(w, 3)],
       [36, crashAll(200)],
     ],
@@ -302,9 +304,9 @@
     repeat: 0.05,
     work: tooMuch,
     at: [
-      [3, (w) => (w.net.slowMs = 250)],
+      [3, (w) => (w.net.extraDelayMs = 250)],
       [20, (w) => mute(w, 2, 9000)],
-      [45, (w) => (w.net.slowMs = 0)],
+      [45, (w) => (w.net.extraDelayMs = 0)],
     ],
   },
   {
@@ -373,7 +375,7 @@
     at: [
       [8, (w) => floodOfQuestions(w, 10, 40_000)],
       [12, crashLeader(90)],
-      [18, (w) => w.state.outage(14_000)],
+      [18, (w) => w.stateStore.startOutage(14_000)],
       [32.2, crashLeader(2500)],
       [33, (w) => cancelRunning(w, 3)],
     ],
@@ -382,10 +384,10 @@
     name: "machines that come up late or never meet a takeover and an outage of the cloud's interface",
     grown: true,
     at: [
-      [8, (w) => troubledBoots(w, 4, { factor: 4, neverShare: 0.4 }, 20_000)],
+      [8, (w) => troubledBoots(w, 4, { delayFactor: 4, neverShare: 0.4 }, 20_000)],
       [10, crashLeader(2500)],
-      [12, (w) => w.cloud.outage(12_000)],
-      [30, (w) => troubledBoots(w, 4, { factor: 0.1, neverShare: 0 }, 10_000)],
+      [12, (w) => w.cloud.startOutage(12_000)],
+      [30, (w) => troubledBoots(w, 4, { delayFactor: 0.1, neverShare: 0 }, 10_000)],
       [31.5, crashLeader(90)],
     ],
   },
@@ -403,7 +405,8 @@
 for (const [index, day] of meetings.entries()) {
   test(`troubles meet: ${day.name}`, () => play(new World(700 + index), day));
   if (day.grown)
-    test(`troubles meet, 5 controllers: ${day.name}`, () => play(new World(800 + index, { size: 5 }), day));
+    test(`troubles meet, 5 controllers: ${day.name}`, () =>
+      play(new World(800 + index, { controllerCount: 5 }), day));
 }
 
 /** Meetings that nobody listed. `npm run draw -- FIRST COUNT` plays any number of them; what failed once is a row here. */
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -11,10 +11,10 @@
 import { World } from "./fakes/world.js";
 
 test("a link whose frames are not in order is closed, with the reason, and changes nothing", async () => {
-  const world = new World(31, { size: 5 });
+  const world = new World(31, { controllerCount: 5 });
   await world.run(5);
-  const follower = world.names.find((n) => n !== world.leader)!;
-  const other = world.names.find((n) => n !== world.leader && n !== follower)!;
+  const follower = world.controllers.names.find((n) => n !== world.leader)!;
+  const other = world.controllers.names.find((n) => n !== world.leader && n !== follower)!;
   const hello = (from: string, version = PEER_PROTOCOL_VERSION): PeerMessage => ({
     kind: "hello",
     from,
@@ -40,7 +40,7 @@
     ],
   ];
   for (const [name, frames, want] of cases) {
-    const take = world.link(follower);
+    const take = world.controllers.openPeerLink(follower);
     let reason: string | null = null;
     for (const f of frames) reason ??= take(f);
     assert.match(reason ?? "taken", want, name);
@@ -48,7 +48,7 @@
   const before = world.leader;
   await world.run(10);
   assert.equal(world.leader, before, "the same leader in the same term");
-  const term = world.state.keys.get("lead/term")?.data as { n: number };
+  const term = world.stateStore.entries.get("lead/term")?.value as { n: number };
   assert.equal(term.n, 1);
 });
 
