--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -278,7 +278,7 @@
     const { zone, have, soon } = most;
     const whole = have + soon >= want;
     this.takeComing(job, want - have, zone);
-    if (underLimit && have > 0 && (whole || job.hasWaitedLong)) {
+    if (underLimit && have > 0 && (whole || job.isStarving)) {
       const etaS = whole ? 20 : this.etaS(job, want - have, zone);
       for (const p of this.choose(job, want, Infinity, zone)) this.reserve(job, p.machine, p.tasks, etaS);
       // Its quota is spoken for, too.
--- a/src/coordination/scheduling/queue.ts
+++ b/src/coordination/scheduling/queue.ts
@@ -80,6 +80,8 @@
 /** Jobs that begin out of turn in one cycle, each with so many tasks. */
 const MAX_EARLY_JOBS = 8;
 export const EARLY_START_TASKS = 2;
+/** The largest jobs have to begin within four minutes, whatever their priority: overdue from here on, in seconds. */
+export const OVERDUE_S = 150;
 /** An array that would take all the room for longer than this shares it with its like. */
 const SHARED_FROM_S = 60;
 /** Of a priority's room, what is late may take so much before those who can still be in time. */
--- a/src/coordination/scheduling/views.ts
+++ b/src/coordination/scheduling/views.ts
@@ -106,7 +106,7 @@
   /** Seconds that one of its tasks is expected to run; Infinity: a service. */
   taskS: number;
   /** It has waited so long that room is reserved for it piece by piece. */
-  hasWaitedLong: boolean;
+  isStarving: boolean;
 }
 
 /** The teams' limits as one scheduling cycle sees them (rule `quota`); counts are of tasks of the given job's shape. */
--- a/test/fair.test.ts
+++ b/test/fair.test.ts
@@ -228,7 +228,7 @@
     waitTargetLeftS: null,
     preferredMachine: null,
     taskS: 20,
-    hasWaitedLong: false,
+    isStarving: false,
   };
 }
 
@@ -304,7 +304,7 @@
 
 test("room kept for a gang is lent to what is over before the rest of it comes, and to nothing else", () => {
   const gang = job(9, { kind: "gang", tasks: 3, cpus: 16, memoryGb: 10, oneZone: true });
-  gang.hasWaitedLong = true;
+  gang.isStarving = true;
   const start = place(
     input(
       [gang],
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -2,7 +2,8 @@
 import test from "node:test";
 import { Job, type Attempt, Machine } from "../src/bookkeeping/workload.js";
 import { machineLooksFaulty, jobLooksFaulty } from "../src/coordination/scheduling/failureDetection.js";
-import { hasJustBegun, isOverdueToBoot } from "../src/coordination/scheduling/scheduler.js";
+import { isOverdueToBoot } from "../src/coordination/scheduling/machineSnapshots.js";
+import { hasJustBegun } from "../src/coordination/scheduling/stopCost.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
 import { World } from "./fakes/world.js";
 
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -94,7 +94,7 @@
     waitTargetLeftS: random.chance(0.4) ? random.below(15) : null,
     preferredMachine: random.chance(0.1) ? `host-${random.below(20)}` : null,
     taskS: random.pick([3, 20, 120]),
-    hasWaitedLong: random.chance(0.3),
+    isStarving: random.chance(0.3),
   };
 }
 
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { serveOrder, completionTargetsS, type QueueEntry } from "../src/coordination/scheduling/queue.js";
-import { cycleGapMs } from "../src/coordination/scheduling/scheduler.js";
+import { cycleGapMs } from "../src/coordination/scheduling/cycleGap.js";
 import type { Job } from "../src/bookkeeping/workload.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
