--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -2,7 +2,7 @@
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { Timer } from "../../transport/clock.js";
 import { Actor } from "../../transport/actor.js";
-import type { CloudEvent } from "../provisioning/cloudClient.js";
+import type { CloudEvent } from "../provisioning/cloudEvents.js";
 import { Estimates } from "../scheduling/estimates.js";
 import type { LeaderOptions } from "./leaderOptions.js";
 import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
--- a/src/coordination/leader/termMessage.ts
+++ b/src/coordination/leader/termMessage.ts
@@ -1,6 +1,6 @@
 import type { DeliveryResult } from "../../protocol/model.js";
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
-import type { CloudEvent } from "../provisioning/cloudClient.js";
+import type { MachineEvent } from "../provisioning/cloudEvents.js";
 import type { RecordMessage } from "../records/recordMessages.js";
 
 /** What concerns one term: dropped once the term is over. */
@@ -8,7 +8,7 @@
   | RecordMessage
   | { kind: "heartbeat server update"; update: HeartbeatServerUpdate }
   | { kind: "delivery finished"; result: DeliveryResult }
-  | { kind: "cloud"; event: Exclude<CloudEvent, { kind: "types" }> }
+  | { kind: "cloud"; event: MachineEvent }
   /** A scheduling cycle is due. */
   | { kind: "cycle" }
   /** A write to the state store is due. */
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -1,244 +1,171 @@
-import type { ListedMachine, MachineType } from "../../protocol/model.js";
-import {
-  cloudPaths,
-  decodeMachineList,
-  decodeCreatedMachines,
-  decodeMachineTypes,
-  encodeDeleteMachines,
-  encodeCreateMachines,
-  isNoCapacity,
-} from "../../protocol/cloud.js";
-import { TokenBucket } from "../../transport/tokenBucket.js";
-import type { Clock } from "../../transport/clock.js";
+import { isNoCapacity } from "../../protocol/cloud.js";
+import type { Clock, Timer } from "../../transport/clock.js";
 import type { HttpCaller, ClientResponse } from "../../transport/httpClient.js";
-import { Actor } from "../../transport/actor.js";
 import { log } from "../../transport/log.js";
+import { Actor } from "../../transport/actor.js";
+import { TokenBucket } from "../../transport/tokenBucket.js";
+import { CloudCallQueue } from "./cloudCallQueue.js";
+import { requestOf, resultOf, type CloudCall } from "./cloudCalls.js";
+import type { CloudEvent } from "./cloudEvents.js";
+import type { ScaleOutOrder } from "./machineOrders.js";
+
+const RESPONSE_TIMEOUT_MS = 3000;
+/** Calls under way at the same time. */
+const MAX_IN_FLIGHT = 3;
+/** Calls per second on average, as a share of the limit that the cloud enforces: we stay below it. */
+const RATE_SHARE = 0.85;
+/** Calls at once, in seconds of the cloud's limit; at least one. */
+const BURST_S = 1.2;
+/** The pause after a failure, doubled with each further one. */
+const FIRST_BACKOFF_MS = 250;
+const MAX_BACKOFF_MS = 4000;
+/** No timer is shorter: a token that comes sooner waits for company. */
+const MIN_WAIT_MS = 5;
+
+const OK = 200;
+const BAD_REQUEST = 400;
+const SERVICE_UNAVAILABLE = 503;
+
+/** What the leader asks of the cloud; each has its result in a `CloudEvent`. */
+export type CloudRequest =
+  | { kind: "create"; order: ScaleOutOrder }
+  | { kind: "delete"; names: string[] }
+  | { kind: "list" }
+  | { kind: "types" };
 
-export interface ScaleOutOrder {
-  /** Never used again by anybody: made of the term and a counter. */
-  request: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-  count: number;
+/** Takes requests to the cloud. */
+export interface CloudRequests {
+  tell(request: CloudRequest): void;
 }
 
-export type CloudEvent =
-  | { kind: "types"; types: MachineType[]; isStored?: boolean }
-  | { kind: "listed"; machines: ListedMachine[]; askedMs: number }
-  | { kind: "rented"; order: ScaleOutOrder; names: string[] }
-  | { kind: "no capacity"; order: ScaleOutOrder }
-  | { kind: "removed"; names: string[] };
-
 type Message =
-  | { kind: "rent"; order: ScaleOutOrder }
-  | { kind: "remove"; names: string[] }
-  | { kind: "list" }
-  | { kind: "types" }
+  | CloudRequest
   | { kind: "stop" }
-  | { kind: "pump" }
-  | { kind: "reply"; work: Work; reply: ClientResponse | null; askedMs: number };
-
-type Work =
-  | { kind: "rent"; order: ScaleOutOrder }
-  | { kind: "remove"; names: string[] }
-  | { kind: "list"; after: string; found: ListedMachine[]; askedMs: number }
-  | { kind: "types" };
-
-const MAX_NAMES = 100;
-const PAGE = 500;
-const TIMEOUT_MS = 3000;
-const PARALLEL = 3;
+  | { kind: "wait over" }
+  /** `reply` null: none came, so the call may or may not have been carried out. */
+  | { kind: "reply"; call: CloudCall; reply: ClientResponse | null; sentMs: number };
 
 /**
- * The one place that talks to the cloud: within its rate, with bounded backoff. A rental with no clear answer
- * is repeated under its own name until the answer is clear, so nothing is rented twice.
+ * The one place that calls the cloud: within its rate limit, with bounded backoff. An order without a clear response is
+ * repeated under its own request name until the response is clear, so nothing is created twice.
  */
-export class CloudClient extends Actor<Message> {
+export class CloudClient extends Actor<Message> implements CloudRequests {
   private readonly bucket: TokenBucket;
-  private readonly rents: ScaleOutOrder[] = [];
-  private readonly removals = new Set<string>();
-  private wantList = false;
-  private wantTypes = false;
-  private listing: Work | null = null;
+  private readonly calls = new CloudCallQueue();
   private inFlight = 0;
   private backoffMs = 0;
-  private notBeforeMs = 0;
-  private pumpSet = false;
-  private stopped = false;
+  private backoffUntilMs = 0;
+  private waitTimer: Timer | null = null;
+  private isStopped = false;
 
   constructor(
     private readonly http: HttpCaller,
     private readonly clock: Clock,
     private readonly address: string,
-    rps: number,
-    private readonly onEvent: (news: CloudEvent) => void,
+    /** The cloud's limit of calls per second. */
+    callsPerSecond: number,
+    private readonly onEvent: (event: CloudEvent) => void,
   ) {
     super("cloud");
-    this.bucket = new TokenBucket(rps * 0.85, Math.max(1, rps * 1.2), clock.nowMs());
-  }
-
-  protected override failed(message: Message, error: unknown): void {
-    log.error(`cloud: ${message.kind}: ${String(error)}`);
+    const burst = Math.max(1, callsPerSecond * BURST_S);
+    this.bucket = new TokenBucket(callsPerSecond * RATE_SHARE, burst, clock.nowMs());
   }
 
   protected override handle(message: Message): void {
     switch (message.kind) {
-      case "rent":
-        this.rents.push(message.order);
+      case "create":
+        this.calls.addOrder(message.order);
         break;
-      case "remove":
-        for (const name of message.names) this.removals.add(name);
+      case "delete":
+        this.calls.addDeletions(message.names);
         break;
       case "list":
-        this.wantList = true;
+        this.calls.addList();
         break;
       case "types":
-        this.wantTypes = true;
+        this.calls.addTypes();
         break;
       case "stop":
-        this.stopped = true;
+        this.isStopped = true;
+        this.waitTimer?.cancel();
         break;
-      case "pump":
-        this.pumpSet = false;
+      case "wait over":
+        this.waitTimer = null;
         break;
       case "reply":
         this.inFlight--;
-        this.answered(message.work, message.reply, message.askedMs);
+        this.receive(message.call, message.reply, message.sentMs);
         break;
     }
-    this.pump();
+    this.sendWaiting();
   }
 
-  private later(delayMs: number): void {
-    if (this.pumpSet || this.stopped) return;
-    this.pumpSet = true;
-    this.clock.after(Math.max(5, delayMs), () => this.tell({ kind: "pump" }));
-  }
-
-  private pump(): void {
-    while (!this.stopped && this.inFlight < PARALLEL) {
-      const now = this.clock.nowMs();
-      const blocked = Math.max(this.notBeforeMs - now, this.bucket.waitMs(1, now));
-      if (blocked > 0) {
-        if (
-          this.rents.length > 0 ||
-          this.removals.size > 0 ||
-          this.wantList ||
-          this.wantTypes ||
-          this.listing
-        ) {
-          this.later(blocked);
-        }
+  /** Sends what waits, as far as the rate limit, the backoff and the calls under way allow. */
+  private sendWaiting(): void {
+    while (!this.isStopped && this.inFlight < MAX_IN_FLIGHT) {
+      const nowMs = this.clock.nowMs();
+      const waitMs = Math.max(this.backoffUntilMs - nowMs, this.bucket.waitMs(1, nowMs));
+      if (waitMs > 0) {
+        if (!this.calls.isEmpty) this.sendLater(waitMs);
         return;
       }
-      const work = this.next();
-      if (!work) return;
-      this.bucket.tryTake(1, now);
-      this.inFlight++;
-      this.send(work, now);
+      const call = this.calls.take();
+      if (!call) return;
+      this.bucket.tryTake(1, nowMs);
+      this.send(call, nowMs);
     }
   }
 
-  private next(): Work | null {
-    if (this.wantTypes) {
-      this.wantTypes = false;
-      return { kind: "types" };
-    }
-    if (this.removals.size > 0) {
-      const names = [...this.removals].slice(0, MAX_NAMES);
-      for (const name of names) this.removals.delete(name);
-      return { kind: "remove", names };
-    }
-    const order = this.rents.shift();
-    if (order) return { kind: "rent", order };
-    if (this.listing) {
-      const work = this.listing;
-      this.listing = null;
-      return work;
-    }
-    if (this.wantList) {
-      this.wantList = false;
-      return { kind: "list", after: "", found: [], askedMs: this.clock.nowMs() };
-    }
-    return null;
+  private sendLater(waitMs: number): void {
+    if (this.waitTimer) return;
+    this.waitTimer = this.clock.after(Math.max(MIN_WAIT_MS, waitMs), () => this.tell({ kind: "wait over" }));
   }
 
-  private send(work: Work, askedMs: number): void {
-    const [method, path, body] = this.request(work);
-    this.http.call(this.address, method, path, body, TIMEOUT_MS).then(
-      (reply) => this.tell({ kind: "reply", work, reply, askedMs }),
-      () => this.tell({ kind: "reply", work, reply: null, askedMs }),
+  private send(call: CloudCall, sentMs: number): void {
+    this.inFlight++;
+    const { method, path, body } = requestOf(call);
+    this.http.call(this.address, method, path, body, RESPONSE_TIMEOUT_MS).then(
+      (reply) => this.tell({ kind: "reply", call, reply, sentMs }),
+      () => this.tell({ kind: "reply", call, reply: null, sentMs }),
     );
   }
 
-  private request(work: Work): [string, string, unknown] {
-    switch (work.kind) {
-      case "rent": {
-        const order = work.order;
-        return [
-          "POST",
-          cloudPaths.createMachines,
-          encodeCreateMachines(order.request, order.type, order.zone, order.spot, order.count),
-        ];
-      }
-      case "remove":
-        return ["POST", cloudPaths.deleteMachines, encodeDeleteMachines(work.names)];
-      case "list":
-        return ["GET", cloudPaths.listMachines(work.after, PAGE), undefined];
-      case "types":
-        return ["GET", cloudPaths.machineTypes, undefined];
-    }
-  }
-
-  private answered(work: Work, reply: ClientResponse | null, askedMs: number): void {
-    if (work.kind === "rent" && reply?.status === 503 && isNoCapacity(reply.body)) {
+  private receive(call: CloudCall, reply: ClientResponse | null, sentMs: number): void {
+    if (call.kind === "create" && reply?.status === SERVICE_UNAVAILABLE && isNoCapacity(reply.body)) {
       this.backoffMs = 0;
-      this.onEvent({ kind: "no capacity", order: work.order });
-      return;
-    }
-    if (reply?.status === 200) {
+      this.onEvent({ kind: "no capacity", order: call.order });
+    } else if (reply?.status === OK) {
       this.backoffMs = 0;
-      this.succeeded(work, reply.body);
-      return;
-    }
-    if (reply?.status === 400) {
-      log.error(`cloud: ${work.kind} was malformed: ${JSON.stringify(work)}`);
-      if (work.kind === "rent") this.onEvent({ kind: "no capacity", order: work.order });
-      return;
-    }
-    // Refused for now, or no answer: once more after a pause.
-    this.backoffMs = Math.min(4000, Math.max(250, this.backoffMs * 2));
-    this.notBeforeMs = this.clock.nowMs() + this.backoffMs;
-    log.debug(() => `cloud: ${work.kind} failed (${reply?.status ?? "no answer"}), asked at ${askedMs}`);
-    if (work.kind === "rent") this.rents.unshift(work.order);
-    else if (work.kind === "remove") for (const name of work.names) this.removals.add(name);
-    else if (work.kind === "list") this.listing = null;
-    else this.wantTypes = true;
+      this.succeeded(call, reply.body);
+    } else if (reply?.status === BAD_REQUEST) this.rejected(call);
+    else this.retryLater(call, reply, sentMs);
   }
 
-  private succeeded(work: Work, body: unknown): void {
-    switch (work.kind) {
-      case "rent":
-        this.onEvent({ kind: "rented", order: work.order, names: decodeCreatedMachines(body) ?? [] });
-        break;
-      case "remove":
-        this.onEvent({ kind: "removed", names: work.names });
+  private succeeded(call: CloudCall, body: unknown): void {
+    const result = resultOf(call, body);
+    switch (result.kind) {
+      case "event":
+        this.onEvent(result.event);
         break;
-      case "types": {
-        const types = decodeMachineTypes(body);
-        if (types) this.onEvent({ kind: "types", types });
+      case "next page":
+        this.calls.addNextPage(result.call);
         break;
-      }
-      case "list": {
-        const page = decodeMachineList(body);
-        if (!page) break;
-        const found = [...work.found, ...page.machines];
-        const last = page.machines.at(-1);
-        if (page.more && last) this.listing = { ...work, after: last.name, found };
-        else this.onEvent({ kind: "listed", machines: found, askedMs: work.askedMs });
+      case "unreadable":
         break;
-      }
     }
   }
+
+  /** The cloud calls it malformed: repeating it is useless. */
+  private rejected(call: CloudCall): void {
+    log.error(`cloud: ${call.kind} was malformed: ${JSON.stringify(call)}`);
+    if (call.kind === "create") this.onEvent({ kind: "no capacity", order: call.order });
+  }
+
+  /** Refused for now, or no response: once more after a pause. */
+  private retryLater(call: CloudCall, reply: ClientResponse | null, sentMs: number): void {
+    this.backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(FIRST_BACKOFF_MS, this.backoffMs * 2));
+    this.backoffUntilMs = this.clock.nowMs() + this.backoffMs;
+    log.debug(() => `cloud: ${call.kind} failed (${reply?.status ?? "no response"}), sent at ${sentMs}`);
+    this.calls.putBack(call);
+  }
 }
--- a/src/coordination/provisioning/fleetUsageLog.ts
+++ b/src/coordination/provisioning/fleetUsageLog.ts
@@ -1,21 +1,24 @@
+import type { Resources } from "../../bookkeeping/resources.js";
 import type { Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
-import type { MachineRegistry } from "../term/machineRegistry.js";
 import { loadOf } from "../consolidation/machineLoad.js";
+import type { MachineRegistry } from "../term/machineRegistry.js";
+
+const LOG_INTERVAL_MS = 60_000;
 
-interface Sum {
+/** Sums over samples for one kind of machine, in machines; `running` and `preparing` count shares of a machine. */
+interface UsageSum {
   machines: number;
   booting: number;
+  /** Taken by tasks that run. */
   running: number;
+  /** Taken by tasks that don't run yet, or are stopping. */
   preparing: number;
 }
 
-/** The log is told this often what the fleet does. */
-const LOG_EVERY_MS = 60_000;
-
-/** Logs what the paid machines do, kind by kind: where money goes that no work has. */
+/** Logs each minute what the paid machines do, kind by kind: it shows which money buys no work. */
 export class FleetUsageLog {
-  private readonly sums = new Map<string, Sum>();
+  private readonly sums = new Map<string, UsageSum>();
   private samples = 0;
 
   constructor(
@@ -23,57 +26,72 @@
     private loggedMs: number,
   ) {}
 
-  /** Adds up what the machines do at this moment; now and then the sum is logged. */
+  /** Adds what the machines do at this moment, and logs the sums when it is time. */
   sample(nowMs: number): void {
-    this.addSample(this.machines.values());
-    if (nowMs - this.loggedMs < LOG_EVERY_MS) return;
+    this.samples++;
+    for (const machine of this.machines.values()) this.addMachine(machine);
+    if (nowMs - this.loggedMs < LOG_INTERVAL_MS) return;
     this.loggedMs = nowMs;
-    const summary = this.summary();
-    if (summary !== null) log.info(`fleet in the last minute: ${summary}`);
+    if (this.sums.size === 0) return;
+    log.info(`fleet in the last minute: ${this.summary()}`);
+    this.sums.clear();
+    this.samples = 0;
   }
 
-  private addSample(machines: Iterable<Machine>): void {
-    this.samples++;
-    for (const machine of machines) {
-      if (!machine.type || machine.state === "leaving") continue;
-      const kind = machine.spot ? `${machine.type.name} (spot)` : machine.type.name;
-      let sum = this.sums.get(kind);
-      if (!sum) {
-        sum = { machines: 0, booting: 0, running: 0, preparing: 0 };
-        this.sums.set(kind, sum);
-      }
-      sum.machines++;
-      if (machine.state === "booting") {
-        sum.booting++;
-        continue;
-      }
-      const run = { cpus: 0, gpus: 0, memoryGb: 0 };
-      for (const attempt of machine.attempts) {
-        if (attempt.phase !== "running") continue;
-        run.cpus += attempt.job.spec.cpus;
-        run.gpus += attempt.job.spec.gpus;
-        run.memoryGb += attempt.job.spec.memoryGb;
-      }
-      const running = loadOf(run, machine.type);
-      sum.running += running;
-      sum.preparing += Math.max(0, loadOf(machine.used, machine.type) - running);
+  private addMachine(machine: Machine): void {
+    const { type } = machine;
+    if (!type || machine.state === "leaving") return;
+    const sum = this.sumOf(machine.spot ? `${type.name} (spot)` : type.name);
+    sum.machines++;
+    if (machine.state === "booting") {
+      sum.booting++;
+      return;
     }
+    const running = loadOf(runningResources(machine), type);
+    sum.running += running;
+    sum.preparing += Math.max(0, loadOf(machine.used, type) - running);
   }
 
-  /** What has been seen since it was told last; null: nothing. */
-  private summary(): string | null {
-    if (this.sums.size === 0) return null;
-    const parts = [];
-    for (const [kind, sum] of [...this.sums].sort((a, b) => (a[0] < b[0] ? -1 : 1))) {
-      const percent = (n: number): string => `${((100 * n) / sum.machines).toFixed(0)}%`;
-      const idle = sum.machines - sum.booting - sum.running - sum.preparing;
-      parts.push(
-        `${kind} ${(sum.machines / this.samples).toFixed(1)}: ${percent(sum.running)} running, ` +
-          `${percent(sum.preparing)} preparing, ${percent(idle)} free, ${percent(sum.booting)} booting`,
-      );
+  private sumOf(kind: string): UsageSum {
+    let sum = this.sums.get(kind);
+    if (!sum) {
+      sum = { machines: 0, booting: 0, running: 0, preparing: 0 };
+      this.sums.set(kind, sum);
     }
-    this.sums.clear();
-    this.samples = 0;
-    return parts.join("; ");
+    return sum;
   }
+
+  private summary(): string {
+    return [...this.sums]
+      .sort(([kindA], [kindB]) => (kindA < kindB ? -1 : 1))
+      .map(([kind, sum]) => this.describe(kind, sum))
+      .join("; ");
+  }
+
+  private describe(kind: string, sum: UsageSum): string {
+    const { machines, booting, running, preparing } = sum;
+    const free = machines - booting - running - preparing;
+    const shares = [
+      `${percent(running, machines)} running`,
+      `${percent(preparing, machines)} preparing`,
+      `${percent(free, machines)} free`,
+      `${percent(booting, machines)} booting`,
+    ];
+    return `${kind} ${(machines / this.samples).toFixed(1)}: ${shares.join(", ")}`;
+  }
+}
+
+function runningResources(machine: Machine): Resources {
+  const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
+  for (const { phase, job } of machine.attempts) {
+    if (phase !== "running") continue;
+    sum.cpus += job.spec.cpus;
+    sum.gpus += job.spec.gpus;
+    sum.memoryGb += job.spec.memoryGb;
+  }
+  return sum;
+}
+
+function percent(part: number, whole: number): string {
+  return `${((100 * part) / whole).toFixed(0)}%`;
 }
--- a/src/coordination/provisioning/scaleOutPlan.ts
+++ b/src/coordination/provisioning/scaleOutPlan.ts
@@ -1,103 +1,182 @@
 import type { JobSpec, MachineType } from "../../protocol/model.js";
-import type { AcceleratorReserve, JobView, MachineView } from "../scheduling/views.js";
 import { allowsPlacement, fits, fittingTasks, subtractTasks, zoneRoom } from "../scheduling/fitting.js";
+import type { AcceleratorReserve, JobView, MachineView } from "../scheduling/views.js";
 import { emptyMachineView } from "../scheduling/views.js";
+import { machineKindKey, purchaseKinds, type ScaleOutTarget } from "./machineOrders.js";
 
-export interface ScaleOutTarget {
-  type: string;
-  zone: string;
-  spot: boolean;
-  count: number;
+/**
+ * Capacity is not bought at more than this many times what the cheapest on-demand capacity costs: beyond it, waiting is
+ * the better bargain, however urgent the work.
+ */
+const MAX_PRICE_FACTOR = 3;
+/** A machine that takes this long to boot counts as twice as expensive as one that is up at once. */
+const BOOT_PENALTY_S = 100;
+/** Costs this close are equal: the first candidate stays, whatever rounding says. */
+const COST_TOLERANCE = 1e-9;
+
+/** Tasks of a job that found no place. */
+export interface UnplacedTasks {
+  job: JobView;
+  tasks: number;
+  /** The zone in which the rest of a gang is wanted; null: any. */
+  zone: string | null;
 }
 
+/** What a plan to scale out depends on. */
 export interface ScaleOutInput {
-  /** A gang's rest is wanted in that zone. */
-  unplaced: { job: JobView; tasks: number; zone: string | null }[];
+  /** In the order in which they are served. */
+  unplaced: UnplacedTasks[];
   types: MachineType[];
-  /** Machines on their way, rented or asked for. */
+  /** Machines that are booting or ordered. The plan takes room out of them. */
   incoming: MachineView[];
-  /** True while the cloud has lately had none of these. */
-  refused: (type: string, zone: string, spot: boolean) => boolean;
+  /** The cloud has lately had no machine of that kind. */
+  isRefused: (type: string, zone: string, spot: boolean) => boolean;
+  /** The most machines that the plan may ask for. */
   maxMachines: number;
-  /** What work with accelerators wants there; null: none of it may come. */
+  /** What each accelerator there keeps beside it for GPU work; null: no GPU work may be placed there. */
   acceleratorReserve: (type: MachineType, spot: boolean) => AcceleratorReserve | null;
 }
 
 /**
- * Room is not bought at more than this many times what the cheapest ordinary room costs: beyond it, waiting for
- * what is there is the better bargain, however urgent the work.
- */
-const MAX_PRICE_FACTOR = 3;
-
-/**
- * What to rent for the work that found no place: first what is on its way is filled, in thought, and only
- * what is still left rents more, at the lowest price for each task that the machine would really hold. Pure.
+ * What to order for the work that found no place: first the machines that are booting or ordered are filled, and only
+ * what is still left orders more, at the lowest price for each task that the machine would really hold. Pure, but for the
+ * snapshots in `incoming`.
  */
 export function planScaleOut(input: ScaleOutInput): ScaleOutTarget[] {
-  const targets = new Map<string, ScaleOutTarget>();
-  const virtual = [...input.incoming];
-  let machines = 0;
-  for (const { job, tasks, zone: only } of input.unplaced) {
-    const { spec } = job;
-    const zones = new Map(job.zones);
-    let left = tasks;
-    const put = (machine: MachineView): void => {
-      const n = Math.min(left, fittingTasks(spec, machine.free), zoneRoom(spec, zones, machine.zone));
-      if (n <= 0) return;
-      subtractTasks(machine.free, spec, n);
-      zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + n);
-      left -= n;
-    };
-    for (const m of virtual) {
-      if (left <= 0) break;
-      if ((spec.gpus === 0 && m.acceleratorReserve) || (only !== null && m.zone !== only)) continue;
-      if (allowsPlacement(spec, m.type.name, m.zone, m.spot) && fits(spec, m.free)) put(m);
+  return new ScaleOutPlanner(input).plan();
+}
+
+/** What one job still needs, while the plan is made. */
+interface Demand {
+  spec: JobSpec;
+  tasks: number;
+  onlyZone: string | null;
+  tasksByZone: Map<string, number>;
+  maxPricePerTask: number;
+}
+
+/** A kind of machine to order, with what it costs for each task that it would hold. */
+interface Offer {
+  type: MachineType;
+  zone: string;
+  spot: boolean;
+  cost: number;
+}
+
+class ScaleOutPlanner {
+  private readonly targets = new Map<string, ScaleOutTarget>();
+  /** Those on their way, and those that this plan orders. */
+  private readonly futureMachines: MachineView[];
+  private orderedMachines = 0;
+
+  constructor(private readonly input: ScaleOutInput) {
+    this.futureMachines = [...input.incoming];
+  }
+
+  plan(): ScaleOutTarget[] {
+    for (const { job, tasks, zone } of this.input.unplaced) {
+      const { spec, zones } = job;
+      const maxPricePerTask = MAX_PRICE_FACTOR * lowestOnDemandPrice(spec, this.input.types);
+      const demand = { spec, tasks, onlyZone: zone, tasksByZone: new Map(zones), maxPricePerTask };
+      this.fillFutureMachines(demand);
+      this.orderMachines(demand);
+    }
+    return [...this.targets.values()];
+  }
+
+  private fillFutureMachines(demand: Demand): void {
+    const { spec, onlyZone } = demand;
+    for (const machine of this.futureMachines) {
+      if (demand.tasks <= 0) break;
+      if (spec.gpus === 0 && machine.acceleratorReserve) continue;
+      if (onlyZone !== null && machine.zone !== onlyZone) continue;
+      if (!allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)) continue;
+      if (fits(spec, machine.free)) fill(machine, demand);
+    }
+  }
+
+  private orderMachines(demand: Demand): void {
+    while (demand.tasks > 0 && this.orderedMachines < this.input.maxMachines) {
+      const offer = this.cheapestOffer(demand);
+      if (!offer) return;
+      fill(this.order(offer), demand);
+    }
+  }
+
+  private order({ type, zone, spot }: Offer): MachineView {
+    const key = machineKindKey(type.name, zone, spot);
+    const target = this.targets.get(key) ?? { type: type.name, zone, spot, count: 0 };
+    target.count++;
+    this.targets.set(key, target);
+    this.orderedMachines++;
+    const machine = emptyMachineView(type, zone, spot, this.input.acceleratorReserve(type, spot));
+    this.futureMachines.push(machine);
+    return machine;
+  }
+
+  /** The cheapest kind of machine for the demand; of equal ones the first by type, zone and spot. Null: none will do. */
+  private cheapestOffer(demand: Demand): Offer | null {
+    let cheapest: Offer | null = null;
+    for (const type of this.input.types) {
+      const heldTasks = fittingTasks(demand.spec, type);
+      if (heldTasks <= 0) continue;
+      for (const zone of type.zones) cheapest = this.cheaperInZone(demand, type, heldTasks, zone, cheapest);
     }
-    const cheapest = ordinaryPrice(spec, input.types);
-    while (left > 0 && machines < input.maxMachines) {
-      let best: { type: MachineType; zone: string; spot: boolean; cost: number } | null = null;
-      for (const type of input.types) {
-        const whole = { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
-        const holds = fittingTasks(spec, whole);
-        if (holds <= 0) continue;
-        for (const zone of type.zones) {
-          if (only !== null && zone !== only) continue;
-          const room = zoneRoom(spec, zones, zone);
-          if (room <= 0) continue;
-          for (const spot of spec.spot ? [true, false] : [false]) {
-            if (!allowsPlacement(spec, type.name, zone, spot) || input.refused(type.name, zone, spot))
-              continue;
-            if (spec.gpus === 0 && type.gpus > 0 && input.acceleratorReserve(type, spot)) continue;
-            const used = Math.min(holds, left, room);
-            const price = spot ? type.spotPrice : type.price;
-            if (price / holds > cheapest * MAX_PRICE_FACTOR) continue;
-            const cost = (price / used) * (1 + type.bootS / 100);
-            if (!best || cost < best.cost - 1e-9) best = { type, zone, spot, cost };
-          }
-        }
-      }
-      if (!best) break;
-      const { type, zone, spot } = best;
-      const key = `${type.name} ${zone} ${spot}`;
-      const target = targets.get(key) ?? { type: type.name, zone, spot, count: 0 };
-      target.count++;
-      targets.set(key, target);
-      machines++;
-      const fresh = emptyMachineView(type, zone, spot, input.acceleratorReserve(type, spot));
-      virtual.push(fresh);
-      put(fresh);
+    return cheapest;
+  }
+
+  /** The cheapest offer so far, or one of that type and zone that is cheaper. */
+  private cheaperInZone(
+    demand: Demand,
+    type: MachineType,
+    heldTasks: number,
+    zone: string,
+    cheapest: Offer | null,
+  ): Offer | null {
+    const { spec, onlyZone } = demand;
+    if (onlyZone !== null && zone !== onlyZone) return cheapest;
+    const room = zoneRoom(spec, demand.tasksByZone, zone);
+    if (room <= 0) return cheapest;
+    const usedTasks = Math.min(heldTasks, demand.tasks, room);
+    for (const spot of purchaseKinds(spec)) {
+      if (!this.isAvailable(spec, type, zone, spot)) continue;
+      const price = spot ? type.spotPrice : type.price;
+      if (price / heldTasks > demand.maxPricePerTask) continue;
+      const cost = (price / usedTasks) * (1 + type.bootS / BOOT_PENALTY_S);
+      if (!cheapest || cost < cheapest.cost - COST_TOLERANCE) cheapest = { type, zone, spot, cost };
     }
+    return cheapest;
+  }
+
+  /** The job may run there, the cloud has not refused it, and no GPU work claims the machine. */
+  private isAvailable(spec: JobSpec, type: MachineType, zone: string, spot: boolean): boolean {
+    if (!allowsPlacement(spec, type.name, zone, spot) || this.input.isRefused(type.name, zone, spot))
+      return false;
+    return spec.gpus > 0 || type.gpus === 0 || !this.input.acceleratorReserve(type, spot);
   }
-  return [...targets.values()];
 }
 
-/** Lowest ordinary price of one task's room. */
-function ordinaryPrice(spec: JobSpec, types: MachineType[]): number {
+/** Puts as much of the demand on the machine as it holds. */
+function fill(machine: MachineView, demand: Demand): void {
+  const { spec, tasksByZone } = demand;
+  const tasks = Math.min(
+    demand.tasks,
+    fittingTasks(spec, machine.free),
+    zoneRoom(spec, tasksByZone, machine.zone),
+  );
+  if (tasks <= 0) return;
+  subtractTasks(machine.free, spec, tasks);
+  tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + tasks);
+  demand.tasks -= tasks;
+}
+
+/** Lowest on-demand price of the capacity for one task; Infinity: no type holds one. */
+function lowestOnDemandPrice(spec: JobSpec, types: readonly MachineType[]): number {
   let lowest = Infinity;
   for (const type of types) {
-    const holds = fittingTasks(spec, { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb });
-    if (holds > 0 && (spec.types === null || spec.types.includes(type.name)))
-      lowest = Math.min(lowest, type.price / holds);
+    const heldTasks = fittingTasks(spec, type);
+    if (heldTasks > 0 && (spec.types === null || spec.types.includes(type.name)))
+      lowest = Math.min(lowest, type.price / heldTasks);
   }
   return lowest;
 }
--- a/src/coordination/scheduling/estimates.ts
+++ b/src/coordination/scheduling/estimates.ts
@@ -2,67 +2,86 @@
 import { RunTimeEstimator } from "./runTimeEstimator.js";
 import type { AcceleratorReserve } from "./views.js";
 
-/** What a controller knows whatever the term: machine types, and what the days have taught. */
+const MS_PER_HOUR = 3_600_000;
+/** Spot machines are counted every tick; after a longer gap nobody knows how many ran meanwhile. */
+const MAX_SPOT_SAMPLE_GAP_MS = 2000;
+
+/** What a controller knows across terms: machine types, run times, GPU jobs' needs and the rate of spot interruptions. */
 export class Estimates {
   types: MachineType[] = [];
+  /** Machine types have been read; without them nothing can be placed. */
   areTypesKnown = false;
   readonly runTimes = new RunTimeEstimator();
-  /** Counts changes of what `claimOn` answers. */
+  /** Counts changes of what `acceleratorReserveOn` returns. */
   acceleratorReserveRevision = 0;
-  private readonly gpuClasses = new Map<string, JobSpec>();
+  /** The first GPU job seen of each class. */
+  private readonly gpuJobByClass = new Map<string, JobSpec>();
 
-  /** Spot machines taken with notice, and how long all of them ran; begins with a guess of one in an hour. */
-  private taken = 1;
-  private spotH = 1;
-  private spotSeenMs = -Infinity;
+  /** Interruptions seen, and hours that all spot machines ran; starts with a guess of one interruption in an hour. */
+  private spotInterruptions = 1;
+  private spotHours = 1;
+  private lastSpotSampleMs = -Infinity;
 
-  constructor(readonly controllerZones: Set<string>) {}
+  constructor(
+    /** Zones in which a controller runs. */
+    readonly controllerZones: Set<string>,
+  ) {}
 
+  /** Null: the cloud offers no such type, or types are not known yet. */
   typeNamed(name: string): MachineType | null {
-    return this.types.find((t) => t.name === name) ?? null;
+    return this.types.find((type) => type.name === name) ?? null;
   }
 
-  /** True when more than prices is new. */
+  /** Replaces the machine types. True when more than prices has changed. */
   setTypes(types: MachineType[]): boolean {
-    const shape = (list: MachineType[]): string =>
-      JSON.stringify(list.map((t) => ({ ...t, price: 0, spotPrice: 0 })));
-    const changed = !this.areTypesKnown || shape(types) !== shape(this.types);
+    const isChanged = !this.areTypesKnown || withoutPrices(types) !== withoutPrices(this.types);
     this.types = types;
     this.areTypesKnown = true;
-    return changed;
+    return isChanged;
   }
 
+  /** A spot machine was interrupted by the cloud. */
   recordSpotInterruption(): void {
-    this.taken++;
+    this.spotInterruptions++;
   }
 
-  /** So many spot machines are up now. */
+  /** So many spot machines are up at this moment; to be called at every tick. */
   recordSpotUptime(machines: number, nowMs: number): void {
-    const sinceMs = nowMs - this.spotSeenMs;
-    if (sinceMs < 2000) this.spotH += (machines * sinceMs) / 3_600_000;
-    this.spotSeenMs = nowMs;
+    const sinceMs = nowMs - this.lastSpotSampleMs;
+    if (sinceMs < MAX_SPOT_SAMPLE_GAP_MS) this.spotHours += (machines * sinceMs) / MS_PER_HOUR;
+    this.lastSpotSampleMs = nowMs;
   }
 
+  /** Interruptions of one spot machine in an hour, as seen so far. */
   get interruptionsPerHour(): number {
-    return this.taken / this.spotH;
+    return this.spotInterruptions / this.spotHours;
   }
 
-  /** Remembers what work with accelerators looks like, class by class. */
+  /** Remembers what GPU jobs need, class by class. */
   recordAcceleratorJob(spec: JobSpec): void {
-    if (spec.gpus <= 0 || this.gpuClasses.has(spec.className)) return;
+    if (spec.gpus <= 0 || this.gpuJobByClass.has(spec.className)) return;
     this.acceleratorReserveRevision++;
-    this.gpuClasses.set(spec.className, spec);
+    this.gpuJobByClass.set(spec.className, spec);
   }
 
+  /**
+   * What each accelerator of such a machine has to keep beside it: the most that any GPU job that may run there needs.
+   * Null: it has no accelerators, or no GPU job may run there.
+   */
   acceleratorReserveOn(type: MachineType, spot: boolean): AcceleratorReserve | null {
     if (type.gpus <= 0) return null;
-    let claim: AcceleratorReserve | null = null;
-    for (const spec of this.gpuClasses.values()) {
+    let reserve: AcceleratorReserve | null = null;
+    for (const spec of this.gpuJobByClass.values()) {
       if ((spec.types !== null && !spec.types.includes(type.name)) || (spot && !spec.spot)) continue;
-      claim ??= { cpus: 0, memoryGb: 0 };
-      claim.cpus = Math.max(claim.cpus, spec.cpus / spec.gpus);
-      claim.memoryGb = Math.max(claim.memoryGb, spec.memoryGb / spec.gpus);
+      reserve ??= { cpus: 0, memoryGb: 0 };
+      reserve.cpus = Math.max(reserve.cpus, spec.cpus / spec.gpus);
+      reserve.memoryGb = Math.max(reserve.memoryGb, spec.memoryGb / spec.gpus);
     }
-    return claim;
+    return reserve;
   }
 }
+
+/** A text that is equal for types that differ in nothing but prices. */
+function withoutPrices(types: MachineType[]): string {
+  return JSON.stringify(types.map((type) => ({ ...type, price: 0, spotPrice: 0 })));
+}
--- a/src/coordination/scheduling/groupBy.ts
+++ b/src/coordination/scheduling/groupBy.ts
@@ -1,4 +1,4 @@
-/** The items by their key, in their order. Pure. */
+/** The items by their key; groups and items keep the order of the items. Pure. */
 export function groupBy<Item>(items: Iterable<Item>, keyOf: (item: Item) => string): Map<string, Item[]> {
   const groups = new Map<string, Item[]>();
   for (const item of items) {
--- a/src/coordination/scheduling/reservations.ts
+++ b/src/coordination/scheduling/reservations.ts
@@ -1,34 +1,39 @@
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { Reservation } from "./placementPlan.js";
 
-/** Room that others were preempted for is kept so long; a gang's so long, while the rest of it comes. */
+/** How long room is kept that other work was preempted for: the stopped tasks end within it. */
 const RESERVATION_MS = 6000;
+/** How long it is kept for a gang, while the rest of its room is gathered. */
 const GANG_RESERVATION_MS = 180_000;
 
-/** Owns the room that is kept on machines for jobs that could not begin in the cycle that made it. */
+interface TimedReservation extends Reservation {
+  untilMs: number;
+}
+
+/** Owns the room that is kept on machines for jobs that could not start in the cycle that made the room. */
 export class Reservations {
-  private reservations: (Reservation & { untilMs: number })[] = [];
+  private reservations: TimedReservation[] = [];
 
   constructor(private readonly jobs: JobRegistry) {}
 
-  /** Those whose time is not over. */
+  /** Those that have not expired. */
   active(nowMs: number): Reservation[] {
     return this.reservations.filter((reservation) => reservation.untilMs > nowMs);
   }
 
-  /** Room there is kept for a job, so it is not idle. */
+  /** Is room on the machine kept for a job? Then the machine is not idle. */
   includes(machine: string): boolean {
     return this.reservations.some((reservation) => reservation.machine === machine);
   }
 
   /**
-   * The reservations of a new cycle. Each lasts a while from when it was first made, so that nothing is kept for ever for
-   * a job that can't come.
+   * Takes the reservations of a new cycle. Each expires a while after it was first made, so that nothing is kept for ever
+   * for a job that can't start.
    */
   replace(reservations: Reservation[], nowMs: number): void {
-    const before = new Map(this.reservations.map((known) => [keyOf(known), known.untilMs]));
+    const knownUntilMs = new Map(this.reservations.map((known) => [keyOf(known), known.untilMs]));
     this.reservations = reservations.map((reservation) => {
-      const untilMs = before.get(keyOf(reservation)) ?? nowMs + this.durationMs(reservation);
+      const untilMs = knownUntilMs.get(keyOf(reservation)) ?? nowMs + this.durationMs(reservation);
       return { ...reservation, untilMs };
     });
   }
--- a/src/coordination/scheduling/runTimeEstimator.ts
+++ b/src/coordination/scheduling/runTimeEstimator.ts
@@ -1,22 +1,38 @@
-/** What the days themselves teach: how far the owners' estimates are off, class by class. */
+/** One run counts as no more than this many times longer, or shorter, than its estimate: outliers must not dominate. */
+const MAX_RATIO = 10;
+const MIN_RATIO = 0.1;
+/** A mean over no more than about so many runs, so that it follows a class whose jobs change. */
+const MAX_WEIGHT = 30;
+/** With fewer runs seen, the submitted estimate is the better guess. */
+const MIN_RUNS = 3;
+
+/** Running mean of the logarithm of actual over estimated run time. */
+interface LogRatio {
+  mean: number;
+  /** Runs seen, up to `MAX_WEIGHT`. */
+  weight: number;
+}
+
+/** Learns from runs how far submitted run time estimates are off, class by class. */
 export class RunTimeEstimator {
-  private readonly ratio = new Map<string, { value: number; weight: number }>();
+  private readonly logRatios = new Map<string, LogRatio>();
 
-  /** A task of the class ran this long though its owner had said that. */
+  /** A task of the class ran for `actualS`, with `estimateS` in its job's submission. */
   recordRun(className: string, actualS: number, estimateS: number): void {
     if (estimateS <= 0 || actualS <= 0) return;
-    const r = Math.min(10, Math.max(0.1, actualS / estimateS));
-    const old = this.ratio.get(className);
-    if (!old) {
-      this.ratio.set(className, { value: Math.log(r), weight: 1 });
+    const logRatio = Math.log(Math.min(MAX_RATIO, Math.max(MIN_RATIO, actualS / estimateS)));
+    const known = this.logRatios.get(className);
+    if (!known) {
+      this.logRatios.set(className, { mean: logRatio, weight: 1 });
       return;
     }
-    old.weight = Math.min(30, old.weight + 1);
-    old.value += (Math.log(r) - old.value) / old.weight;
+    known.weight = Math.min(MAX_WEIGHT, known.weight + 1);
+    known.mean += (logRatio - known.mean) / known.weight;
   }
 
+  /** Seconds that a task of the class with such an estimate is expected to run. */
   expectedS(className: string, estimateS: number): number {
-    const r = this.ratio.get(className);
-    return r && r.weight >= 3 ? estimateS * Math.exp(r.value) : estimateS;
+    const known = this.logRatios.get(className);
+    return known && known.weight >= MIN_RUNS ? estimateS * Math.exp(known.mean) : estimateS;
   }
 }
