--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -72,7 +72,7 @@
   for (const { name, othersReachable, reads } of cases)
     test(name, () => {
       const suspicion = new LeaderSuspicion();
-      suspicion.raise(LEADER.leader, LEADER.term, othersReachable, 1000);
+      suspicion.raise({ ...LEADER, othersReachable, sinceMs: 1000 });
       for (const [sentMs, read, over] of reads)
         assert.equal(suspicion.isConfirmedBy({ ...read, sentMs: 1000 + sentMs }, 1004 + sentMs), over);
     });
--- a/test/leaseExpiry.test.ts
+++ b/test/leaseExpiry.test.ts
@@ -1,6 +1,8 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { isMajority, mayConfirmExtension, readLeadership } from "../src/coordination/leadership/elector.js";
+import { decodeLeadership } from "../src/coordination/leadership/leadershipRecord.js";
+import { mayConfirmExtension } from "../src/coordination/leadership/leaseExtension.js";
+import { isMajority } from "../src/coordination/leadership/quorum.js";
 import { acknowledgementLimitMs, longestZoneLeaseMs } from "../src/coordination/term/acknowledgementLimit.js";
 import { CLOCK_DRIFT } from "../src/coordination/term/clockDrift.js";
 import { firstFencingToken, TOKENS_PER_TERM } from "../src/coordination/term/fencingTokens.js";
@@ -43,15 +45,15 @@
 test("extensions: confirmed only by those who are refused too and know of no later term", () => {
   const base = {
     nowMs: 10_000,
-    everServed: true,
+    hasReadLeadership: true,
     lastServedSentMs: 8000,
     lastRefusedMs: 9500,
     knownTerm: 3,
-    askedTerm: 3,
+    requestedTerm: 3,
   };
   const cases: [string, Partial<typeof base>, boolean][] = [
     ["refused lately", {}, true],
-    ["restarted, and has read nothing", { everServed: false }, false],
+    ["restarted, and has read nothing", { hasReadLeadership: false }, false],
     ["knows of a later term", { knownTerm: 4 }, false],
     ["served after it was refused", { lastServedSentMs: 9600 }, false],
     ["refused too long ago to say", { lastRefusedMs: 8100 }, false],
@@ -71,7 +73,7 @@
 });
 
 test("the records of leadership are read as a whole", () => {
-  const view = readLeadership(
+  const view = decodeLeadership(
     [
       { key: "lead/hold", value: { n: 4, node: "n1", life: "x", lease: 9 }, version: 12 },
       { key: "lead/term", value: { n: 4, node: "n1" }, version: 11 },
@@ -82,9 +84,9 @@
     revision: 12,
     termVersion: 11,
     term: 4,
-    record: { term: 4, node: "n1", incarnation: "x", lease: 9 },
+    record: { term: 4, node: "n1", incarnation: "x", leaseId: 9 },
   });
-  assert.deepEqual(readLeadership([], 9), { revision: 9, termVersion: 0, term: 0, record: null });
+  assert.deepEqual(decodeLeadership([], 9), { revision: 9, termVersion: 0, term: 0, record: null });
 });
 
 test("a lease is over only when nobody can have renewed it, whoever serves the worker", () => {
