--- a/src/coordination/leadership/leadershipStore.ts
+++ b/src/coordination/leadership/leadershipStore.ts
@@ -34,7 +34,7 @@
 export interface LeadershipStoreContext {
   node: string;
   incarnation: string;
-  stateStore: StateStoreClient;
+  stateStore: Pick<StateStoreClient, "list" | "openLease" | "renewLease" | "endLease" | "compareAndSwap">;
   clock: Clock;
   /** The leadership lease's time to live. */
   leaseMs: number;
--- /dev/null
+++ b/test/election.test.ts
@@ -0,0 +1,327 @@
+/** The election's pure decisions: records, steps, votes, confirmations and rights. */
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { stepAfterRead, type ElectionFacts } from "../src/coordination/leadership/electionStep.js";
+import { KnownLeadership } from "../src/coordination/leadership/knownLeadership.js";
+import {
+  decodeLeadership,
+  leadershipRecordChange,
+  termChange,
+  termVersionIfWritten,
+  type LeadershipRecord,
+  type LeadershipView,
+} from "../src/coordination/leadership/leadershipRecord.js";
+import { LeadershipRights } from "../src/coordination/leadership/leadershipRights.js";
+import {
+  ExtensionRequests,
+  mayConfirmExtension,
+  type ExtensionFacts,
+} from "../src/coordination/leadership/leaseExtension.js";
+import { LivenessWrites } from "../src/coordination/leadership/livenessWrites.js";
+import { isMajority } from "../src/coordination/leadership/quorum.js";
+import { TermConfirmation } from "../src/coordination/leadership/termConfirmation.js";
+import { leadershipLeaseUntilMs } from "../src/coordination/term/leadershipLease.js";
+
+const RECORD: LeadershipRecord = { term: 4, node: "n1", incarnation: "x", leaseId: 9 };
+
+describe("the leadership's records", () => {
+  test("are read as a whole", () => {
+    const view = decodeLeadership(
+      [
+        { key: "lead/hold", value: { n: 4, node: "n1", life: "x", lease: 9 }, version: 12 },
+        { key: "lead/term", value: { n: 4, node: "n1" }, version: 11 },
+      ],
+      12,
+    );
+    assert.deepEqual(view, { revision: 12, termVersion: 11, term: 4, record: RECORD });
+    assert.deepEqual(decodeLeadership([], 9), { revision: 9, termVersion: 0, term: 0, record: null });
+  });
+
+  test("keep their stored form", () => {
+    assert.deepEqual(termChange(RECORD), { put: "lead/term", value: { n: 4, node: "n1" } });
+    assert.deepEqual(leadershipRecordChange(RECORD), {
+      put: "lead/hold",
+      value: { n: 4, node: "n1", life: "x", lease: 9 },
+      lease: 9,
+    });
+  });
+
+  const view: LeadershipView = { revision: 12, termVersion: 11, term: 4, record: RECORD };
+  const readBacks: { name: string; view: LeadershipView | null; termVersion: number | null }[] = [
+    { name: "the record is there", view, termVersion: 11 },
+    { name: "the state store did not answer", view: null, termVersion: null },
+    { name: "nobody leads", view: { ...view, record: null }, termVersion: null },
+    {
+      name: "another process",
+      view: { ...view, record: { ...RECORD, incarnation: "y" } },
+      termVersion: null,
+    },
+    { name: "another term", view: { ...view, record: { ...RECORD, term: 5 } }, termVersion: null },
+    { name: "another lease", view: { ...view, record: { ...RECORD, leaseId: 8 } }, termVersion: null },
+  ];
+  for (const readBack of readBacks)
+    test(`after a write of unknown outcome: ${readBack.name}`, () => {
+      assert.equal(termVersionIfWritten(RECORD, readBack.view), readBack.termVersion);
+    });
+});
+
+describe("after a read, a controller that does not lead", () => {
+  const facts: ElectionFacts = {
+    node: "n2",
+    incarnation: "y",
+    isLeaderSuspected: false,
+    isCampaignPaused: false,
+  };
+  const cases: {
+    name: string;
+    record: LeadershipRecord | null;
+    facts?: Partial<ElectionFacts>;
+    step: "wait" | "campaign" | "end lease";
+  }[] = [
+    { name: "waits while another one leads", record: RECORD, step: "wait" },
+    { name: "campaigns when nobody leads", record: null, step: "campaign" },
+    {
+      name: "waits when nobody leads but it has just stepped down",
+      record: null,
+      facts: { isCampaignPaused: true },
+      step: "wait",
+    },
+    {
+      name: "ends the lease of a leader that it suspects",
+      record: RECORD,
+      facts: { isLeaderSuspected: true },
+      step: "end lease",
+    },
+    {
+      name: "ends it also when it has just stepped down",
+      record: RECORD,
+      facts: { isLeaderSuspected: true, isCampaignPaused: true },
+      step: "end lease",
+    },
+    {
+      name: "ends the lease of its own node's former process",
+      record: RECORD,
+      facts: { node: "n1" },
+      step: "end lease",
+    },
+    {
+      name: "waits when the record is its own process's, from a term that it has resigned",
+      record: RECORD,
+      facts: { node: "n1", incarnation: "x" },
+      step: "wait",
+    },
+  ];
+  for (const { name, record, facts: special, step } of cases)
+    test(name, () => {
+      const taken = stepAfterRead(record, { ...facts, ...special });
+      assert.equal(taken.kind, step);
+      if (taken.kind === "end lease") assert.deepEqual(taken.record, record);
+    });
+});
+
+describe("what a controller knows of the leader", () => {
+  function knownAfterTerm4(): KnownLeadership {
+    const known = new KnownLeadership("n0");
+    known.noteTerm(4);
+    assert.equal(known.noteLeader("n1", 4), true);
+    return known;
+  }
+  const cases: {
+    name: string;
+    leader: string | null;
+    term: number;
+    isNews: boolean;
+    after: string | null;
+  }[] = [
+    { name: "the same leader of the same term", leader: "n1", term: 4, isNews: false, after: "n1" },
+    { name: "the same leader of a later term", leader: "n1", term: 5, isNews: true, after: "n1" },
+    { name: "another one of a later term", leader: "n2", term: 5, isNews: true, after: "n2" },
+    { name: "another one of an earlier term", leader: "n2", term: 3, isNews: false, after: "n1" },
+    { name: "nobody", leader: null, term: 0, isNews: true, after: null },
+    { name: "a record of its own, left from before", leader: "n0", term: 4, isNews: true, after: null },
+  ];
+  for (const { name, leader, term, isNews, after } of cases)
+    test(name, () => {
+      const known = knownAfterTerm4();
+      assert.equal(known.noteLeader(leader, term), isNews);
+      assert.equal(known.leader.node, after);
+    });
+
+  test("nobody, twice, is nothing new; the term before still counts", () => {
+    const known = knownAfterTerm4();
+    known.noteLeader(null, 0);
+    assert.equal(known.noteLeader(null, 0), false);
+    assert.deepEqual(known.leader, { node: null, term: 4 });
+    assert.equal(known.noteLeader("n2", 3), false, "an old read");
+  });
+
+  test("its own leadership, until it resigns", () => {
+    const known = knownAfterTerm4();
+    known.lead(5);
+    assert.deepEqual([known.term, known.leader], [5, { node: "n0", term: 5 }]);
+    known.resign();
+    assert.deepEqual([known.term, known.leader], [5, { node: null, term: 5 }]);
+  });
+
+  test("the newest term only rises", () => {
+    const known = knownAfterTerm4();
+    known.noteTerm(3);
+    assert.equal(known.term, 4);
+  });
+});
+
+describe("a majority is more than half of all controllers", () => {
+  for (const [votes, controllers, expected] of [
+    [1, 1, true],
+    [1, 2, false],
+    [1, 3, false],
+    [2, 3, true],
+    [2, 4, false],
+    [3, 5, true],
+  ] as const)
+    test(`${votes} of ${controllers}`, () => assert.equal(isMajority(votes, controllers), expected));
+});
+
+describe("an extension is confirmed only by controllers that are refused too and know of no later term", () => {
+  const facts: ExtensionFacts = {
+    nowMs: 10_000,
+    hasReadLeadership: true,
+    lastServedSentMs: 8000,
+    lastRefusedMs: 9500,
+    knownTerm: 3,
+    requestedTerm: 3,
+  };
+  const cases: [name: string, facts: Partial<ExtensionFacts>, expected: boolean][] = [
+    ["refused lately", {}, true],
+    ["restarted, and has read nothing", { hasReadLeadership: false }, false],
+    ["knows of a later term", { knownTerm: 4 }, false],
+    ["served after it was refused", { lastServedSentMs: 9600 }, false],
+    ["refused too long ago to say", { lastRefusedMs: 8100 }, false],
+    ["never refused", { lastRefusedMs: -Infinity }, false],
+    ["knows only of an earlier term", { knownTerm: 2 }, true],
+    ["refused exactly as long ago as counts", { lastRefusedMs: 8500 }, true],
+  ];
+  for (const [name, special, expected] of cases)
+    test(name, () => assert.equal(mayConfirmExtension({ ...facts, ...special }), expected));
+});
+
+describe("votes for an extension", () => {
+  const PEERS = ["n1", "n2", "n3", "n4"];
+  const TERM = 7;
+  /** 2 s from the request, less the drift of both clocks. */
+  const EXTENDED_UNTIL_MS = 1000 + 1998;
+  type Vote = Parameters<ExtensionRequests["receiveVote"]>[0];
+  const vote = (from: string, requestId: number, special: Partial<Vote> = {}): Vote => ({
+    kind: "extension vote",
+    from,
+    term: TERM,
+    requestId,
+    isGranted: true,
+    ...special,
+  });
+
+  test("count from when the request was sent, once a majority has confirmed", () => {
+    const requests = new ExtensionRequests("n0", PEERS);
+    const id = requests.add(TERM, 1000);
+    assert.equal(requests.receiveVote(vote("n1", id), TERM), null);
+    assert.equal(requests.receiveVote(vote("n1", id), TERM), null, "the same one again");
+    assert.equal(requests.receiveVote(vote("n2", id), TERM), EXTENDED_UNTIL_MS);
+    assert.equal(requests.receiveVote(vote("n3", id), TERM), EXTENDED_UNTIL_MS, "more than a majority");
+  });
+
+  const invalid: { name: string; special: Partial<Vote>; leadingTerm?: number }[] = [
+    { name: "against it", special: { isGranted: false } },
+    { name: "of a controller that is no peer", special: { from: "n9" } },
+    { name: "for another request", special: { requestId: 99 } },
+    { name: "of another term", special: { term: TERM + 1 } },
+    { name: "for a term that is not led any more", special: {}, leadingTerm: TERM + 1 },
+  ];
+  for (const { name, special, leadingTerm } of invalid)
+    test(`do not count: ${name}`, () => {
+      const requests = new ExtensionRequests("n0", PEERS);
+      const id = requests.add(TERM, 1000);
+      requests.receiveVote(vote("n1", id), TERM);
+      assert.equal(requests.receiveVote(vote("n2", id, special), leadingTerm ?? TERM), null);
+    });
+
+  test("do not count once the request is too old, or cleared with its term", () => {
+    const requests = new ExtensionRequests("n0", ["n1", "n2"]);
+    const old = requests.add(TERM, 1000);
+    const young = requests.add(TERM, 3001);
+    assert.equal(requests.receiveVote(vote("n1", old), TERM), null);
+    assert.equal(requests.receiveVote(vote("n1", young), TERM), 3001 + 1998);
+    requests.clear();
+    assert.equal(requests.receiveVote(vote("n2", young), TERM), null);
+  });
+
+  test("never answer a request of an earlier term: ids count on", () => {
+    const requests = new ExtensionRequests("n0", PEERS);
+    const earlier = requests.add(TERM, 1000);
+    requests.clear();
+    assert.notEqual(requests.add(TERM + 1, 1000), earlier);
+  });
+});
+
+describe("earlier leaders are silent", () => {
+  test("a lease, the drift of both clocks and a margin after a majority has confirmed the term", () => {
+    const confirmation = new TermConfirmation(3, 3000);
+    assert.equal(confirmation.confirm("n0", 100), false);
+    assert.equal(confirmation.earlierLeadersSilentFromMs, Infinity);
+    assert.equal(confirmation.confirm("n0", 150), false, "the same one again");
+    assert.equal(confirmation.confirm("n1", 200), true);
+    assert.equal(confirmation.earlierLeadersSilentFromMs, 200 + 3000 * 1.001 + 50);
+    assert.equal(confirmation.confirm("n2", 900), false, "known already");
+    assert.equal(confirmation.earlierLeadersSilentFromMs, 200 + 3000 * 1.001 + 50);
+  });
+
+  test("an extension later when leases are shorter than that", () => {
+    const confirmation = new TermConfirmation(1, 500);
+    assert.equal(confirmation.confirm("n0", 0), true);
+    assert.equal(confirmation.earlierLeadersSilentFromMs, 2002 + 50);
+  });
+});
+
+describe("a leader's rights", () => {
+  const LEASE_MS = 3000;
+  test("end before its lease can have expired", () => {
+    assert.ok(leadershipLeaseUntilMs(1000, 3000) < 4000);
+    const rights = new LeadershipRights(1000, LEASE_MS);
+    assert.equal(rights.writeUntilMs, leadershipLeaseUntilMs(1000, LEASE_MS));
+    assert.equal(rights.acknowledgeUntilMs, rights.writeUntilMs);
+  });
+
+  test("move with each renewal", () => {
+    const rights = new LeadershipRights(1000, LEASE_MS);
+    rights.renew(1750);
+    assert.equal(rights.writeUntilMs, leadershipLeaseUntilMs(1750, LEASE_MS));
+  });
+
+  test("to acknowledge are extended by a majority, those to write are not; neither is ever shortened", () => {
+    const rights = new LeadershipRights(1000, LEASE_MS);
+    rights.extend(9000);
+    rights.extend(8000);
+    assert.equal(rights.writeUntilMs, leadershipLeaseUntilMs(1000, LEASE_MS));
+    assert.equal(rights.acknowledgeUntilMs, 9000);
+    rights.extend(-Infinity);
+    assert.equal(rights.acknowledgeUntilMs, 9000);
+  });
+
+  test("are lost a while after the lease and the last extension", () => {
+    const rights = new LeadershipRights(1000, LEASE_MS);
+    const leaseUntilMs = rights.writeUntilMs;
+    assert.equal(rights.areLost(leaseUntilMs + 1999), false, "an extension may still come");
+    assert.equal(rights.areLost(leaseUntilMs + 2000), true);
+    rights.extend(leaseUntilMs + 5000);
+    assert.equal(rights.areLost(leaseUntilMs + 5999), false);
+    assert.equal(rights.areLost(leaseUntilMs + 6000), true);
+  });
+});
+
+test("liveness writes go on for 4 s after the last refusal; only the first refusal starts them", () => {
+  const writes = new LivenessWrites();
+  assert.equal(writes.areDue(0), false);
+  assert.equal(writes.prolong(1000), true);
+  assert.equal(writes.prolong(2000), false);
+  assert.deepEqual([writes.areDue(5999), writes.areDue(6000)], [true, false]);
+  assert.equal(writes.prolong(6000), true);
+});
