--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -123,7 +123,7 @@
       lagMs,
       onDeposed: (term) => this.elector.tell({ kind: "deposed", term }),
       onLagging: (term) => this.elector.tell({ kind: "lagging", term }),
-      onTypes: (types) => {
+      onMachineTypes: (types) => {
         this.typesKnown = true;
         this.admission.tell({ kind: "types", types });
       },
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -4,29 +4,37 @@
 import { Actor } from "../../transport/actor.js";
 import type { CloudEvent } from "../provisioning/cloudEvents.js";
 import { Estimates } from "../scheduling/estimates.js";
-import type { LeaderOptions } from "./leaderOptions.js";
 import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
+import { buildTermParts } from "./buildTermParts.js";
+import type { LeaderOptions } from "./leaderOptions.js";
 import { LeaderTerm } from "./leaderTerm.js";
-import { buildTermParts } from "./termParts.js";
 import type { TermMessage } from "./termMessage.js";
 
+/** Between two looks at what is due by the clock. */
 const TICK_MS = 250;
 
+/** All that a leader's mailbox takes. Whatever belongs to a term that is over is dropped. */
 export type LeaderMessage =
+  /** This controller begins to lead a term, its rights in it move, or it leads no more. */
   | { kind: "election"; change: LeadershipChange }
+  /** From a controller that acknowledges heartbeats, this one included. */
   | { kind: "heartbeat server update"; update: HeartbeatServerUpdate }
   | { kind: "delivery finished"; term: number; result: DeliveryResult }
+  /** From the cloud's client; machine types come from the state store, too. */
   | { kind: "cloud"; event: CloudEvent }
   /** From a part of that term. */
   | { kind: "term"; term: number; message: TermMessage }
   | { kind: "tick" };
 
-/** The leader's actor: holds the term while there is one, and hands it what concerns it. */
+/**
+ * The leader's actor: holds the term while this controller leads one, and forwards to it what concerns it. Outlives terms;
+ * what is known of machine types is kept from one to the next.
+ */
 export class Leader extends Actor<LeaderMessage> {
   private term: LeaderTerm | null = null;
   private readonly estimates: Estimates;
   private timer: Timer | null = null;
-  private stopped = false;
+  private isStopped = false;
 
   constructor(private readonly options: LeaderOptions) {
     super("leader");
@@ -39,7 +47,7 @@
   }
 
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.timer?.cancel();
   }
 
@@ -60,19 +68,18 @@
         this.receiveCloudEvent(message.event);
         break;
       case "heartbeat server update":
-        this.handOn(message.update.term, message);
+        this.forwardToTerm(message.update.term, message);
         break;
       case "delivery finished":
-        this.handOn(message.term, message);
+        this.forwardToTerm(message.term, message);
         break;
       case "term":
-        this.handOn(message.term, message.message);
+        this.forwardToTerm(message.term, message.message);
         break;
     }
   }
 
-  /** Whatever belongs to a term that is over is dropped. */
-  private handOn(term: number, message: TermMessage): void {
+  private forwardToTerm(term: number, message: TermMessage): void {
     if (this.term?.lease.term === term) this.term.handle(message);
   }
 
@@ -82,17 +89,18 @@
       return;
     }
     this.term?.lease.end();
-    this.term = lease ? this.newTerm(lease) : null;
+    this.term = lease ? this.buildTerm(lease) : null;
     if (!this.term) return;
     this.term.begin();
     this.tell({ kind: "tick" });
   }
 
-  private newTerm(lease: LeadershipLease): LeaderTerm {
+  private buildTerm(lease: LeadershipLease): LeaderTerm {
     const { term } = lease;
     const parts = buildTermParts(lease, this.options, this.estimates, {
       tell: (message) => this.tell({ kind: "term", term, message }),
-      onStoredTypes: (types) => this.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
+      onStoredMachineTypes: (types) =>
+        this.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
     });
     return new LeaderTerm(parts, this.options);
   }
@@ -102,19 +110,19 @@
       this.term?.handle({ kind: "cloud", event });
       return;
     }
-    if (!event.isStored || !this.estimates.areTypesKnown) this.setTypes(event.types, !event.isStored);
+    if (!event.isStored || !this.estimates.areTypesKnown) this.setMachineTypes(event.types, !event.isStored);
     this.term?.requestCycle();
   }
 
-  private setTypes(types: MachineType[], fromCloud: boolean): void {
+  private setMachineTypes(types: MachineType[], fromCloud: boolean): void {
     if (types.length === 0) return;
     const changed = this.estimates.setTypes(types);
-    if (changed) this.options.onTypes(types);
-    this.term?.typesChanged({ fromCloud, changed });
+    if (changed) this.options.onMachineTypes(types);
+    this.term?.machineTypesChanged({ fromCloud, changed });
   }
 
   private tick(): void {
-    if (this.stopped) return;
+    if (this.isStopped) return;
     this.timer?.cancel();
     // Without a term there is nothing to do: the next one begins it.
     if (!this.term) return;
--- a/src/coordination/leader/leaderOptions.ts
+++ b/src/coordination/leader/leaderOptions.ts
@@ -14,21 +14,23 @@
   stateStore: StateStoreClient;
   clock: Clock;
   cloud: CloudClient;
-  /** Has commands carried, by the controller that serves the machine or from here. */
+  /** Has commands sent to a machine, by the controller `via` that serves it, or by this one when that is null. */
   deliver: (term: number, via: string | null, delivery: CommandDelivery) => void;
   sendGrant: (peer: string, grant: Grant) => void;
-  /** Who serves workers: the heartbeat server beside us spreads them, too. */
+  /** Which controllers serve workers: this controller's heartbeat server balances them, too. */
   onServers: (servers: Grant["servers"]) => void;
-  /** What the heartbeat server beside us may acknowledge. */
+  /** What this controller's heartbeat server may acknowledge. */
   onLimits: (limits: HeartbeatServerLimits) => void;
-  /** Workers that report to this controller. */
+  /** Number of workers that send their heartbeats to this controller. */
   workerCount: () => number;
   /** How late this process's timers fire. */
   lagMs: () => number;
   /** A later term than that one has begun. */
   onDeposed: (term: number) => void;
-  /** This controller falls behind, and others do not. */
+  /** This controller can't keep up with leading that term, and others can. */
   onLagging: (term: number) => void;
-  onTypes: (types: MachineType[]) => void;
+  /** New or changed machine types. */
+  onMachineTypes: (types: MachineType[]) => void;
+  /** Counts for display, of the jobs whose counts have changed. */
   onTaskCounts: (term: number, counts: TaskCounts[]) => void;
 }
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -8,14 +8,16 @@
 import type { TermMessage } from "./termMessage.js";
 import type { TermParts } from "./termParts.js";
 
-/** Machine types are asked for this often once they are known, and before that. */
-const TYPES_EVERY_MS = 60_000;
-const UNKNOWN_TYPES_EVERY_MS = 2000;
-/** The cloud's list is read no more often than this, nor than it changes. */
-const LIST_EVERY_MS = 4000;
-const PUBLISH_EVERY_MS = 1000;
+/** Machine types are requested this often once they are known: their prices change. */
+const TYPES_INTERVAL_MS = 60_000;
+/** Machine types are requested this often before they are known: nothing can be scaled out without them. */
+const UNKNOWN_TYPES_INTERVAL_MS = 2000;
+/** The cloud's list of machines is requested no more often than this, nor than the list itself changes. */
+const LIST_INTERVAL_MS = 4000;
+/** Task counts, the heartbeat servers' load and the fleet's usage are published this often. */
+const PUBLISH_INTERVAL_MS = 1000;
 
-/** One leader's term: hands each message and tick to the parts it concerns. Thrown away whole with the term. */
+/** One leader's term: forwards each message and tick to the parts it concerns. Thrown away whole when the term ends. */
 export class LeaderTerm {
   private readonly taskCounts: TaskCountPublisher;
   private readonly fleetUsage: FleetUsageLog;
@@ -35,6 +37,7 @@
     this.overload = new OverloadDetector(lease.startedMs);
   }
 
+  /** The lease of this term, moved and ended by the leader. */
   get lease(): TermLease {
     return this.parts.lease;
   }
@@ -44,6 +47,7 @@
     this.parts.loader.load();
   }
 
+  /** Handles what the term's own parts, the cloud's client and the controllers send. */
   handle(message: TermMessage): void {
     const { deliveryResults, loader, watcher, writer, grants, scheduler, provisioner } = this.parts;
     switch (message.kind) {
@@ -78,13 +82,13 @@
     }
   }
 
-  /** What a controller has acknowledged under our grant (or the heartbeat server beside us by our own lease). */
+  /** What a controller has acknowledged under a grant, or this controller's own heartbeat server by the leader's lease. */
   private receiveUpdate(update: HeartbeatServerUpdate): void {
     const { lease, servers, grants, heartbeats } = this.parts;
     const nowMs = this.options.clock.nowMs();
     const isLocal = update.from === this.options.platform.node;
     if (!isLocal) servers.applyUpdate(update, nowMs);
-    // Before the records are read we don't know which of them mean anything here; they are sent again until then.
+    // Before the records are read it is not known which of them mean anything here; they are sent again until then.
     if (lease.isLoaded) grants.applyCancellations(update, nowMs);
     for (const unchanged of update.unchanged)
       if (!heartbeats.receiveUnchanged(unchanged, update.from, nowMs))
@@ -93,8 +97,11 @@
     if (!isLocal) grants.issueGrant(update, nowMs);
   }
 
-  /** Machine types have come; `fromCloud`: from the cloud itself, `changed`: more than prices is new. */
-  typesChanged({ fromCloud, changed }: { fromCloud: boolean; changed: boolean }): void {
+  /**
+   * Machine types have come in: from the cloud itself or as an earlier leader stored them; `changed` says whether more than
+   * their prices is new. Those from the cloud are stored when they are new, or when none are stored yet.
+   */
+  machineTypesChanged({ fromCloud, changed }: { fromCloud: boolean; changed: boolean }): void {
     const { machines, estimates, singletons, writes } = this.parts;
     for (const machine of machines.values())
       if (machine.type) machine.type = estimates.typeNamed(machine.type.name) ?? machine.type;
@@ -104,42 +111,43 @@
     writes.requestWrite(0);
   }
 
+  /** Something has changed that a scheduling cycle should look at. */
   requestCycle(): void {
     this.parts.cycles.requestCycle();
   }
 
-  /** What has to be looked at by the clock. */
+  /** Does what is due by the clock. */
   tick(nowMs: number): void {
     const { lease, grants, writer, supervisor, rounds, cycles, jobRecords, writes, operator } = this.parts;
-    this.askForTypes(nowMs);
+    this.requestMachineTypes(nowMs);
     if (!lease.isLoaded) return;
-    this.askForList(nowMs);
+    this.requestMachineList(nowMs);
     this.publish(nowMs);
     grants.updateLimits(nowMs);
     if (!lease.mayWrite()) return;
     writer.resume();
-    this.handOverIfOverloaded(nowMs);
+    this.stepDownIfOverloaded(nowMs);
     supervisor.superviseAll(nowMs);
     if (nowMs - rounds.lastRoundMs > operator.roundIntervalS * 1000) rounds.runRound(nowMs);
     cycles.requestCycle();
     if (jobRecords.obsoleteKeys.size > 0) writes.requestWrite(DEFERRED_WRITE_MS);
   }
 
-  private askForTypes(nowMs: number): void {
-    const everyMs = this.parts.estimates.areTypesKnown ? TYPES_EVERY_MS : UNKNOWN_TYPES_EVERY_MS;
-    if (nowMs - this.lastTypesMs <= everyMs) return;
+  private requestMachineTypes(nowMs: number): void {
+    const intervalMs = this.parts.estimates.areTypesKnown ? TYPES_INTERVAL_MS : UNKNOWN_TYPES_INTERVAL_MS;
+    if (nowMs - this.lastTypesMs <= intervalMs) return;
     this.lastTypesMs = nowMs;
     this.options.cloud.tell({ kind: "types" });
   }
 
-  private askForList(nowMs: number): void {
-    if (nowMs - this.lastListMs <= Math.max(LIST_EVERY_MS, this.options.platform.listLagS * 1000)) return;
+  private requestMachineList(nowMs: number): void {
+    if (nowMs - this.lastListMs <= Math.max(LIST_INTERVAL_MS, this.options.platform.listLagS * 1000)) return;
     this.lastListMs = nowMs;
     this.options.cloud.tell({ kind: "list" });
   }
 
   private publish(nowMs: number): void {
-    if (nowMs - this.lastPublishMs <= PUBLISH_EVERY_MS) return;
+    if (nowMs - this.lastPublishMs <= PUBLISH_INTERVAL_MS) return;
     this.lastPublishMs = nowMs;
     this.parts.grants.publishServers(nowMs);
     this.taskCounts.publish(nowMs);
@@ -147,7 +155,7 @@
   }
 
   /** A leader that can't keep up makes everybody wait; one that can takes over within a second. */
-  private handOverIfOverloaded(nowMs: number): void {
+  private stepDownIfOverloaded(nowMs: number): void {
     const lagMs = this.options.lagMs();
     if (this.overload.isOverloaded(lagMs, nowMs) && this.parts.servers.hasFasterServer(lagMs, nowMs))
       this.options.onLagging(this.parts.lease.term);
--- a/src/coordination/leader/overloadDetector.ts
+++ b/src/coordination/leader/overloadDetector.ts
@@ -1,11 +1,13 @@
-/** A leader whose timers are this late, for so long, hands over to a controller that keeps up. */
+/** A leader is overloaded when its timers are this late... */
 const OVERLOAD_LAG_MS = 700;
+/** ...for so long. */
 const OVERLOAD_FOR_MS = 6000;
-/** A new leader has more to do than later: it is given time. */
+/** A new leader has more to do than later: so long after its beginning it does not count as overloaded. */
 const GRACE_MS = 20_000;
 
-/** Decides from the lag of its timers whether a leader is overloaded. */
+/** Decides from the lag of its timers whether a leader is overloaded, so that it steps down for a controller that keeps up. */
 export class OverloadDetector {
+  /** Since when the lag has been too long; Infinity while it is not. */
   private sinceMs = Infinity;
 
   constructor(
--- a/src/coordination/leader/taskCountPublisher.ts
+++ b/src/coordination/leader/taskCountPublisher.ts
@@ -2,10 +2,10 @@
 import type { TaskCounts } from "../../protocol/peers/messages.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 
-/** All counts are published this often, for a controller that has come in between. */
-const PUBLISH_ALL_MS = 10_000;
-/** Jobs in one message. */
-const MAX_JOBS_IN_MESSAGE = 2000;
+/** All counts are published this often, for a controller that has started in between. */
+const PUBLISH_ALL_INTERVAL_MS = 10_000;
+/** More jobs than this go into several messages, so that none of them holds up what waits behind it. */
+const MAX_JOBS_PER_MESSAGE = 2000;
 
 /** Publishes how many tasks of each job are done and running, for display only: what has changed since the last time. */
 export class TaskCountPublisher {
@@ -17,14 +17,15 @@
     private readonly send: (counts: TaskCounts[]) => void,
   ) {}
 
+  /** Sends the counts that have changed since the last call; from time to time all of them. */
   publish(nowMs: number): void {
-    if (nowMs - this.lastAllMs > PUBLISH_ALL_MS) {
+    if (nowMs - this.lastAllMs > PUBLISH_ALL_INTERVAL_MS) {
       this.lastAllMs = nowMs;
       this.published.clear();
     }
     const changed = this.changedCounts();
-    for (let from = 0; from < changed.length; from += MAX_JOBS_IN_MESSAGE)
-      this.send(changed.slice(from, from + MAX_JOBS_IN_MESSAGE));
+    for (let from = 0; from < changed.length; from += MAX_JOBS_PER_MESSAGE)
+      this.send(changed.slice(from, from + MAX_JOBS_PER_MESSAGE));
   }
 
   private changedCounts(): TaskCounts[] {
--- a/src/coordination/leader/termMessage.ts
+++ b/src/coordination/leader/termMessage.ts
@@ -3,7 +3,7 @@
 import type { MachineEvent } from "../provisioning/cloudEvents.js";
 import type { RecordMessage } from "../records/recordMessages.js";
 
-/** What concerns one term: dropped once the term is over. */
+/** What one term handles in the leader's turn; dropped once the term is over. */
 export type TermMessage =
   | RecordMessage
   | { kind: "heartbeat server update"; update: HeartbeatServerUpdate }
--- a/src/coordination/leader/termParts.ts
+++ b/src/coordination/leader/termParts.ts
@@ -1,173 +1,86 @@
-/**
- * Builds the parts of one leader's term, from those that need nothing to those that need the others. Each part is given
- * what it uses and nothing else; no part knows the term that holds it.
- */
-import { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
-import type { MachineType } from "../../protocol/model.js";
-import { CommandDeliveries } from "../commands/commandDeliveries.js";
-import { ConsolidationRounds } from "../consolidation/consolidationRounds.js";
-import { AcknowledgementLimits } from "../heartbeats/acknowledgementLimits.js";
-import { GrantIssuer } from "../heartbeats/grantIssuer.js";
-import { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
-import { Cordon } from "../machines/cordon.js";
-import { DeliveryResults } from "../machines/deliveryResults.js";
-import { HeartbeatProcessor } from "../machines/heartbeatProcessor.js";
-import { MachineLeases } from "../machines/machineLeases.js";
-import { MachineSupervisor } from "../machines/machineSupervisor.js";
-import { Reconciliation } from "../machines/reconciliation.js";
-import { Provisioner } from "../provisioning/provisioner.js";
-import { JobRecords } from "../records/jobRecords.js";
-import { RecordLoader } from "../records/recordLoader.js";
-import { RecordWatcher } from "../records/recordWatcher.js";
-import { RecordWriter } from "../records/recordWriter.js";
-import { SingletonRecords } from "../records/singletonRecords.js";
+/** The parts of one leader's term, by what they are for. `buildTermParts` makes them. */
+import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
+import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
+import type { Operator } from "../../settings/operator.js";
+import type { Clock } from "../../transport/clock.js";
+import type { CommandDeliveries } from "../commands/commandDeliveries.js";
+import type { ConsolidationRounds } from "../consolidation/consolidationRounds.js";
+import type { GrantIssuer } from "../heartbeats/grantIssuer.js";
+import type { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
+import type { DeliveryResults } from "../machines/deliveryResults.js";
+import type { HeartbeatProcessor } from "../machines/heartbeatProcessor.js";
+import type { MachineSupervisor } from "../machines/machineSupervisor.js";
+import type { Reconciliation } from "../machines/reconciliation.js";
+import type { Provisioner } from "../provisioning/provisioner.js";
+import type { JobRecords } from "../records/jobRecords.js";
+import type { RecordLoader } from "../records/recordLoader.js";
+import type { RecordWatcher } from "../records/recordWatcher.js";
+import type { RecordWriter } from "../records/recordWriter.js";
+import type { SingletonRecords } from "../records/singletonRecords.js";
 import type { Estimates } from "../scheduling/estimates.js";
-import { Reservations } from "../scheduling/reservations.js";
-import { Scheduler } from "../scheduling/scheduler.js";
-import { Attempts } from "../term/attempts.js";
-import { CycleRequests } from "../term/cycleRequests.js";
-import { JobRegistry } from "../term/jobRegistry.js";
-import { MachineRegistry } from "../term/machineRegistry.js";
-import { TermLease } from "../term/termLease.js";
-import { WriteQueue } from "../term/writeQueue.js";
-import type { LeaderOptions } from "./leaderOptions.js";
-import type { LeadershipLease } from "../term/leadershipLease.js";
-import { longestZoneLeaseMs } from "../term/acknowledgementLimit.js";
-import { firstAttemptNumber, firstFencingToken } from "../term/fencingTokens.js";
+import type { Reservations } from "../scheduling/reservations.js";
+import type { Scheduler } from "../scheduling/scheduler.js";
+import type { Attempts } from "../term/attempts.js";
+import type { CycleRequests } from "../term/cycleRequests.js";
+import type { JobRegistry } from "../term/jobRegistry.js";
+import type { MachineRegistry } from "../term/machineRegistry.js";
+import type { TermLease } from "../term/termLease.js";
+import type { WriteQueue } from "../term/writeQueue.js";
 import type { TermMessage } from "./termMessage.js";
 
-/** What connects a term's parts to their leader's mailbox. */
-export interface TermMailbox {
+/** The state that the parts share, each piece with one owner, and what they ask of the leader. */
+export interface SharedParts {
+  clock: Clock;
+  estimates: Estimates;
+  stateStore: StateStoreClient;
   /** Handled in the leader's own turn, as long as the term lasts. */
   tell: (message: TermMessage) => void;
-  /** Machine types as an earlier leader stored them. */
-  onStoredTypes: (types: MachineType[]) => void;
+  /** A later term than that one has begun. */
+  onDeposed: (term: number) => void;
+  operator: Operator;
+  /** Seconds between two heartbeats of a worker. */
+  heartbeatS: number;
+  /** A worker's lease, in seconds. */
+  leaseS: number;
+  /** A machine is suspected after so many seconds without a heartbeat. */
+  suspectS: number;
+  lease: TermLease;
+  jobs: JobRegistry;
+  machines: MachineRegistry;
+  usage: QuotaUsage;
+  reservations: Reservations;
+  cycles: CycleRequests;
+  writes: WriteQueue;
+  servers: HeartbeatServerRegistry;
 }
 
-/** The state that the parts share, each piece with one owner, and what they ask of one another. */
-function buildShared(
-  lease: LeadershipLease,
-  options: LeaderOptions,
-  estimates: Estimates,
-  mailbox: TermMailbox,
-) {
-  const { clock, platform } = options;
-  const jobs = new JobRegistry();
-  return {
-    clock,
-    estimates,
-    stateStore: options.stateStore,
-    tell: mailbox.tell,
-    onDeposed: options.onDeposed,
-    operator: options.operator,
-    heartbeatS: platform.heartbeatS,
-    leaseS: platform.leaseS,
-    suspectS: options.operator.suspectS,
-    lease: new TermLease(lease, clock),
-    jobs,
-    machines: new MachineRegistry(firstFencingToken(lease.term), clock),
-    usage: new QuotaUsage(platform.teams),
-    reservations: new Reservations(jobs),
-    cycles: new CycleRequests(clock, () => mailbox.tell({ kind: "cycle" })),
-    writes: new WriteQueue(clock, () => mailbox.tell({ kind: "write" })),
-    servers: new HeartbeatServerRegistry(
-      new Map(platform.peers.map((peer) => [peer.name, peer.zone])),
-      longestZoneLeaseMs(platform.cancelS, platform.leaseS),
-    ),
-  };
-}
-
-type Shared = ReturnType<typeof buildShared>;
-
 /** What acts on attempts: commands, consolidation and provisioning. */
-function buildActions(shared: Shared, options: LeaderOptions) {
-  const commands = new CommandDeliveries({ ...shared, deliver: options.deliver });
-  const firstNumber = firstAttemptNumber(shared.lease.term);
-  const attempts = new Attempts({ ...shared, commands, firstNumber });
-  const rounds = new ConsolidationRounds({ ...shared, attempts });
-  const provisioner = new Provisioner({ ...shared, attempts, rounds, cloud: options.cloud });
-  return { commands, attempts, rounds, provisioner };
+export interface ActionParts {
+  commands: CommandDeliveries;
+  attempts: Attempts;
+  rounds: ConsolidationRounds;
+  provisioner: Provisioner;
 }
 
-type Actions = ReturnType<typeof buildActions>;
-
 /** What follows the machines: heartbeats, deliveries' results, supervision by the clock. */
-function buildMachineParts(shared: Shared, { commands, attempts, provisioner }: Actions) {
-  const cordon = new Cordon({ ...shared, attempts });
-  const reconciliation = new Reconciliation({ ...shared, attempts, commands, cordon });
-  const heartbeats = new HeartbeatProcessor({ ...shared, commands, cordon, reconciliation });
-  const deliveryResults = new DeliveryResults({ ...shared, attempts, deliveries: commands, heartbeats });
-  const supervisor = new MachineSupervisor({
-    ...shared,
-    attempts,
-    deliveries: commands,
-    deliveryResults,
-    leases: new MachineLeases(shared.lease, shared.servers, shared.leaseS),
-    scaleIn: (machine, reason) => provisioner.scaleIn(machine, reason),
-    isReserved: (machine) => shared.reservations.includes(machine),
-  });
-  return { reconciliation, heartbeats, deliveryResults, supervisor };
+export interface MachineParts {
+  reconciliation: Reconciliation;
+  heartbeats: HeartbeatProcessor;
+  deliveryResults: DeliveryResults;
+  supervisor: MachineSupervisor;
 }
 
 /** What reads, watches and writes the term's records. */
-function buildRecordParts(
-  shared: Shared,
-  { commands, attempts, rounds }: Actions,
-  reconciliation: Reconciliation,
-  options: LeaderOptions,
-  mailbox: TermMailbox,
-) {
-  const singletons = new SingletonRecords();
-  const jobRecords = new JobRecords({ ...shared, attempts, onJobRemoved: (id) => rounds.forgetJob(id) });
-  const watcher = new RecordWatcher({ ...shared, jobRecords });
-  const loader = new RecordLoader({
-    ...shared,
-    attempts,
-    reconciliation,
-    watcher,
-    jobRecords,
-    singletons,
-    onStoredTypes: mailbox.onStoredTypes,
-  });
-  const writer = new RecordWriter({
-    ...shared,
-    commands,
-    rounds,
-    queue: shared.writes,
-    jobRecords,
-    singletons,
-    transactionChanges: options.platform.stateStoreTransactionChanges,
-  });
-  return { singletons, jobRecords, watcher, loader, writer };
+export interface RecordParts {
+  singletons: SingletonRecords;
+  jobRecords: JobRecords;
+  watcher: RecordWatcher;
+  loader: RecordLoader;
+  writer: RecordWriter;
 }
 
 /** All parts of a term. */
-export function buildTermParts(
-  lease: LeadershipLease,
-  options: LeaderOptions,
-  estimates: Estimates,
-  mailbox: TermMailbox,
-) {
-  const shared = buildShared(lease, options, estimates, mailbox);
-  const actions = buildActions(shared, options);
-  const machineParts = buildMachineParts(shared, actions);
-  const records = buildRecordParts(shared, actions, machineParts.reconciliation, options, mailbox);
-  const grants = new GrantIssuer({
-    ...options,
-    ...shared,
-    attempts: actions.attempts,
-    limits: new AcknowledgementLimits(options.platform),
-    cancellationsReadUntilMs: () => records.watcher.cancellationsReadUntilMs,
-  });
-  const scheduler = new Scheduler({
-    ...shared,
-    ...actions,
-    preferredMachines: actions.rounds.preferredMachines,
-    objectives: options.platform.objectives,
-    lagMs: options.lagMs,
-  });
-  return { ...shared, ...actions, ...machineParts, ...records, grants, scheduler };
+export interface TermParts extends SharedParts, ActionParts, MachineParts, RecordParts {
+  grants: GrantIssuer;
+  scheduler: Scheduler;
 }
-
-/** The parts of a term, by their names. */
-export type TermParts = ReturnType<typeof buildTermParts>;
--- a/src/coordination/records/recordLoader.ts
+++ b/src/coordination/records/recordLoader.ts
@@ -38,7 +38,7 @@
   jobRecords: JobRecords;
   singletons: SingletonRecords;
   /** Machine types as an earlier leader stored them. */
-  onStoredTypes: (types: MachineType[]) => void;
+  onStoredMachineTypes: (types: MachineType[]) => void;
   tell: (message: LoadedRecords) => void;
 }
 
@@ -107,7 +107,7 @@
     }
     singletons.typesVersion = item.version;
     const types = decodeMachineTypes(item.value);
-    if (types && !estimates.areTypesKnown) this.context.onStoredTypes(types);
+    if (types && !estimates.areTypesKnown) this.context.onStoredMachineTypes(types);
   }
 
   /** Draws the conclusions that waited for the records. */
