--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -12,12 +12,8 @@
 import { HeartbeatServer } from "../coordination/heartbeats/heartbeatServer.js";
 import { parseJson } from "../protocol/json.js";
 import { decodeMachineTypes } from "../protocol/cloud.js";
-import {
-  decodePeerMessage,
-  encodePeerMessage,
-  PEER_PROTOCOL_VERSION,
-  type PeerMessage,
-} from "../protocol/peers/messages.js";
+import { decodePeerMessage, encodeHello, encodePeerMessage } from "../protocol/peers/codec.js";
+import { PEER_PROTOCOL_VERSION, type PeerMessage } from "../protocol/peers/messages.js";
 import { routeRequest } from "../protocol/users.js";
 import { decodeHeartbeat } from "../protocol/workers.js";
 import type { Operator } from "../settings/operator.js";
@@ -353,7 +349,7 @@
     listen: platform.peerListenAddress,
     peers: platform.peers,
     clock,
-    greeting: encodePeerMessage({ kind: "hello", from: platform.node, version: PEER_PROTOCOL_VERSION }),
+    greeting: encodeHello(platform.node),
     onLink: () => running.acceptPeerLink(),
     onRefused: (peer, standing) => running.onPeerRefused(peer, standing),
     onBadLink: (reason) => log.error(reason),
--- /dev/null
+++ b/src/protocol/peers/workerCodecs.ts
@@ -0,0 +1,105 @@
+/** Codecs of what controllers pass on about workers: heartbeats and commands. */
+import type { Command, ExitCause, Heartbeat, TaskPhase, TaskStatus, UnchangedHeartbeat } from "../model.js";
+import {
+  listOf,
+  nullable,
+  oneOf,
+  record,
+  safeInteger,
+  seconds,
+  string,
+  uint48,
+  type Codec,
+} from "./fieldCodecs.js";
+
+const PHASES: readonly TaskPhase[] = ["fetching", "waiting", "running", "saving", "exited"];
+const CAUSES: readonly (ExitCause | null)[] = [
+  null,
+  "done",
+  "stopped",
+  "peers",
+  "incomplete",
+  "error",
+  "no_room",
+  "in_use",
+  "unknown",
+  "other",
+];
+const OPERATIONS: readonly Command["op"][] = ["start", "stop", "reap"];
+
+const phase = oneOf(PHASES);
+const cause = oneOf(CAUSES);
+
+/*
+ * Every heartbeat passes through the next three codecs: written out field by field, in the same order in both directions,
+ * they take two thirds of the time that `record` takes.
+ */
+
+const taskStatus: Codec<TaskStatus> = {
+  write(writer, task) {
+    writer.string(task.jobId).uint48(task.task).safeInteger(task.attempt);
+    phase.write(writer, task.phase);
+    cause.write(writer, task.cause);
+    writer.boolean(task.saved);
+  },
+  read: (reader) => ({
+    jobId: reader.string(),
+    task: reader.uint48(),
+    attempt: reader.safeInteger(),
+    phase: phase.read(reader),
+    cause: cause.read(reader),
+    saved: reader.boolean(),
+  }),
+};
+
+const taskStatuses = listOf(taskStatus);
+const interruptionNotice = nullable(seconds);
+
+export const heartbeat: Codec<Heartbeat> = {
+  write(writer, value) {
+    writer.string(value.machine).string(value.address).string(value.type).string(value.zone);
+    writer.boolean(value.spot);
+    writer.safeInteger(value.epoch).safeInteger(value.tick).safeInteger(value.fencingToken);
+    interruptionNotice.write(writer, value.interruptionNoticeS);
+    taskStatuses.write(writer, value.tasks);
+  },
+  read: (reader) => ({
+    machine: reader.string(),
+    address: reader.string(),
+    type: reader.string(),
+    zone: reader.string(),
+    spot: reader.boolean(),
+    epoch: reader.safeInteger(),
+    tick: reader.safeInteger(),
+    fencingToken: reader.safeInteger(),
+    interruptionNoticeS: interruptionNotice.read(reader),
+    tasks: taskStatuses.read(reader),
+  }),
+};
+
+export const unchangedHeartbeat: Codec<UnchangedHeartbeat> = {
+  write: (writer, value) =>
+    void writer.string(value.machine).safeInteger(value.epoch).safeInteger(value.tick),
+  read: (reader) => ({ machine: reader.string(), epoch: reader.safeInteger(), tick: reader.safeInteger() }),
+};
+
+const operation = oneOf(OPERATIONS);
+const commandTarget = record<Pick<Command, "jobId" | "task" | "attempt">>({
+  jobId: string,
+  task: uint48,
+  attempt: safeInteger,
+});
+
+/** A stop is followed by its grace period. */
+export const command: Codec<Command> = {
+  write(writer, value) {
+    operation.write(writer, value.op);
+    commandTarget.write(writer, value);
+    if (value.op === "stop") seconds.write(writer, value.graceS);
+  },
+  read(reader) {
+    const op = operation.read(reader);
+    const target = commandTarget.read(reader);
+    return op === "stop" ? { op, ...target, graceS: seconds.read(reader) } : { op, ...target };
+  },
+};
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -3,7 +3,7 @@
  * process that can crash, freeze and restart.
  */
 import { Controller } from "../../src/controller/controller.js";
-import { encodePeerMessage, PEER_PROTOCOL_VERSION } from "../../src/protocol/peers/messages.js";
+import { encodeHello } from "../../src/protocol/peers/codec.js";
 import { operatorDefaults } from "../../src/settings/operator.js";
 import type { Clock } from "../../src/transport/clock.js";
 import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
@@ -63,7 +63,7 @@
     let link = this.links.get(from.incarnation);
     if (!link) {
       link = this.controller.acceptPeerLink();
-      link(encodePeerMessage({ kind: "hello", from: from.name, version: PEER_PROTOCOL_VERSION }));
+      link(encodeHello(from.name));
       this.links.set(from.incarnation, link);
     }
     const refusal = link(frame);
--- a/test/peerFrames.test.ts
+++ b/test/peerFrames.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers/messages.js";
+import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers/codec.js";
 import { peerMessages } from "./fakes/peerMessages.js";
 
 /**
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -1,11 +1,8 @@
 import assert from "node:assert/strict";
 import * as net from "node:net";
 import test from "node:test";
-import {
-  encodePeerMessage,
-  PEER_PROTOCOL_VERSION,
-  type PeerMessage,
-} from "../src/protocol/peers/messages.js";
+import { encodePeerMessage } from "../src/protocol/peers/codec.js";
+import { PEER_PROTOCOL_VERSION, type PeerMessage } from "../src/protocol/peers/messages.js";
 import { systemClock } from "../src/transport/clock.js";
 import { encodeFrame, PeerLinks } from "../src/transport/peerLinks.js";
 import { World } from "./fakes/world.js";
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -1,10 +1,11 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import { rejectionReason } from "../src/coordination/admission/admission.js";
-import { decodePeerMessage, encodePeerMessage, type PeerMessage } from "../src/protocol/peers/messages.js";
-import type { Heartbeat } from "../src/protocol/model.js";
+import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers/codec.js";
+import type { PeerMessage } from "../src/protocol/peers/messages.js";
 import { decodeSubmission, encodeSubmission, routeRequest } from "../src/protocol/users.js";
 import { decodeHeartbeat, encodeDirectCommands } from "../src/protocol/workers.js";
+import { peerMessages } from "./fakes/peerMessages.js";
 import { FrameDecoder, encodeFrame } from "../src/transport/peerLinks.js";
 import {
   TASKS_PER_CHUNK,
@@ -141,90 +142,8 @@
   );
 });
 
-const seen: Heartbeat = {
-  machine: "host-1",
-  address: "10.1.0.1:9000",
-  type: "g8",
-  zone: "Óbuda",
-  spot: true,
-  epoch: 3,
-  tick: 2 ** 40,
-  fencingToken: 2 ** 45,
-  interruptionNoticeS: 7.25,
-  tasks: [
-    { jobId: "job-1", task: 99_999, attempt: 2 ** 50, phase: "exited", cause: "stopped", saved: true },
-    { jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, saved: false },
-  ],
-};
-
 test("peers: every message survives the wire, cut anywhere; rubbish doesn't pass", () => {
-  const messages: PeerMessage[] = [
-    { kind: "extension request", from: "n1", term: 7, requestId: 2 ** 40 },
-    { kind: "extension vote", from: "n2", term: 7, requestId: 1, isGranted: true },
-    { kind: "term announcement", from: "n1", term: 8 },
-    { kind: "term acknowledgement", from: "n1", term: 8 },
-    { kind: "task counts", from: "n1", term: 8, jobs: [{ id: "job-1", done: 3, running: 2 }] },
-    { kind: "hello", from: "n3", version: 2 },
-    {
-      kind: "heartbeat server update",
-      from: "n2",
-      term: 8,
-      incarnation: 2 ** 40,
-      sequence: 3,
-      lastGrantIssuedAtMs: 90_000,
-      lastResyncIssuedAtMs: 11,
-      requestedAtMs: 4000,
-      machines: 70,
-      lagMs: 12,
-      unchanged: [{ machine: "host-1", epoch: 1, tick: 9 }],
-      heartbeats: [{ ageMs: 7, heartbeat: seen }],
-      cancellations: [{ id: "job-7", cancelledAt: new Date(1_700_000_000_123) }],
-      cancellationSeq: 4,
-      cancellationsComplete: true,
-    },
-    {
-      kind: "grant",
-      from: "n1",
-      term: 8,
-      incarnation: 2 ** 40,
-      requestedAtMs: 4000,
-      zoneDurationMs: 22_500,
-      durationMs: 2000,
-      issuedAtMs: 90_400,
-      stateStoreReachable: true,
-      resync: false,
-      cancellationSeq: 4,
-      quarantined: ["host-3"],
-      servers: [{ node: "n2", machines: 70, lagMs: 12 }],
-    },
-    {
-      kind: "deliveries",
-      from: "n1",
-      term: 8,
-      deliveries: [
-        {
-          machine: "host-1",
-          address: "10.1.0.1:9000",
-          fencingToken: 2 ** 45 + 1,
-          epoch: 1,
-          commands: [
-            { op: "start", jobId: "job-1", task: 99_999, attempt: 2 ** 50 },
-            { op: "stop", jobId: "job-1", task: 3, attempt: 2, graceS: 2.5 },
-            { op: "reap", jobId: "job-2", task: 0, attempt: 7 },
-          ],
-        },
-      ],
-    },
-    {
-      kind: "delivery results",
-      from: "n2",
-      term: 8,
-      results: [
-        { machine: "host-1", fencingToken: 5, status: null, neverSent: true, heartbeat: null },
-        { machine: "host-2", fencingToken: 6, status: 409, neverSent: false, heartbeat: seen },
-      ],
-    },
-  ];
+  const messages = Object.values(peerMessages);
   const stream = Buffer.concat(messages.map((m) => encodeFrame(encodePeerMessage(m))));
   for (const step of [1, 3, 7, stream.length]) {
     const reader = new FrameDecoder();
