--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,5 +1,5 @@
 import assert from "node:assert/strict";
-import test, { describe } from "node:test";
+import { describe, test } from "node:test";
 import { World } from "./fakes/world.js";
 
 /**
@@ -9,8 +9,8 @@
 test("the sole survivor of a crash of all other controllers leads within two seconds", async () => {
   const world = new World(7, { controllerCount: 5 });
   await world.run(10);
-  const old = world.leader!;
-  const survivor = world.controllers.names.find((name) => name !== old)!;
+  const failedLeader = world.leader!;
+  const survivor = world.controllers.names.find((name) => name !== failedLeader)!;
   for (const name of world.controllers.names) if (name !== survivor) world.controllers.crash(name, 5000);
   await world.run(2);
   assert.equal(world.leader, survivor);
@@ -34,20 +34,20 @@
 describe("a new process serves workers and users", () => {
   const WITHIN_MS = 2500;
   async function servedAfterMs(world: World, name: string): Promise<number> {
-    const bootedMs = world.clock.nowMs();
+    const startedMs = world.clock.nowMs();
     let servedMs = Infinity;
     void world.controllers
       .controllerOf(name)
       .waitForFirstGrant(WITHIN_MS)
       .then(() => (servedMs = world.clock.nowMs()));
     await world.run(4);
-    return servedMs - bootedMs;
+    return servedMs - startedMs;
   }
 
   test("as soon as it has the leader's grant", async () => {
     const world = new World(9);
     await world.run(5);
-    const name = world.controllers.names.find((n) => n !== world.leader)!;
+    const name = world.controllers.names.find((controller) => controller !== world.leader)!;
     world.controllers.crash(name, 500);
     await world.run(0.501);
     const afterMs = await servedAfterMs(world, name);
--- /dev/null
+++ b/test/failureDetection.test.ts
@@ -0,0 +1,138 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { Job, type Attempt, Machine } from "../src/bookkeeping/workload.js";
+import { jobLooksFaulty, machineLooksFaulty } from "../src/coordination/scheduling/failureDetection.js";
+import type { JobSpec } from "../src/protocol/model.js";
+import { World } from "./fakes/world.js";
+
+/** More machines than a job without a mistake fails on. */
+const MANY_MACHINES = ["m1", "m2", "m3", "m4"];
+
+interface JobHistory {
+  id?: string;
+  /** Machines on which tasks of it have failed. */
+  failedOn: string[];
+  doneCount?: number;
+  /** Machines on which tasks of it run. */
+  runsOn?: string[];
+}
+
+function buildMachine(name: string): Machine {
+  return new Machine(name, null, "a", false, 1, 0);
+}
+
+function buildJob({ id = "a", failedOn, doneCount = 0, runsOn = [] }: JobHistory): Job {
+  const job = new Job({ id, tasks: 9 } as JobSpec, new Date(0), 1, null, 0);
+  for (const name of failedOn) job.failedOn.add(name);
+  job.doneCount = doneCount;
+  for (const name of runsOn) job.attempts.add({ machine: buildMachine(name), phase: "running" } as Attempt);
+  return job;
+}
+
+describe("a machine is faulty when jobs fail on it that run elsewhere; jobs that fail everywhere blame none", () => {
+  const cases: { name: string; failures: [job: JobHistory, count: number][]; isFaulty: boolean }[] = [
+    {
+      name: "a job that ended well elsewhere",
+      failures: [[{ failedOn: ["m1"], doneCount: 3 }, 2]],
+      isFaulty: true,
+    },
+    {
+      name: "one failure may be chance",
+      failures: [[{ failedOn: ["m1"], doneCount: 3 }, 1]],
+      isFaulty: false,
+    },
+    {
+      name: "two jobs of which nothing else is known",
+      failures: [
+        [{ id: "a", failedOn: ["m1"] }, 2],
+        [{ id: "b", failedOn: ["m1"] }, 1],
+      ],
+      isFaulty: true,
+    },
+    {
+      name: "one job of which nothing else is known",
+      failures: [[{ failedOn: ["m1"] }, 9]],
+      isFaulty: false,
+    },
+    {
+      name: "two jobs that fail wherever they start",
+      failures: [
+        [{ id: "a", failedOn: MANY_MACHINES }, 5],
+        [{ id: "b", failedOn: MANY_MACHINES }, 5],
+      ],
+      isFaulty: false,
+    },
+    {
+      name: "such a one beside one that runs elsewhere",
+      failures: [
+        [{ id: "a", failedOn: MANY_MACHINES }, 5],
+        [{ id: "b", failedOn: ["m1"], runsOn: ["m9"] }, 2],
+      ],
+      isFaulty: true,
+    },
+  ];
+  for (const { name, failures, isFaulty } of cases)
+    test(name, () => {
+      const jobs = new Map<string, Job>();
+      const machine = buildMachine("m1");
+      machine.consecutiveFailures = new Map();
+      for (const [history, count] of failures) {
+        const job = buildJob(history);
+        jobs.set(job.id, job);
+        machine.consecutiveFailures.set(job.id, count);
+      }
+      assert.equal(machineLooksFaulty(machine, jobs), isFaulty);
+    });
+});
+
+describe("a job is faulty when it fails wherever it starts", () => {
+  const cases: { name: string; history: JobHistory; isFaulty: boolean }[] = [
+    { name: "failed on many machines", history: { failedOn: MANY_MACHINES }, isFaulty: true },
+    {
+      name: "it has ended well somewhere",
+      history: { failedOn: MANY_MACHINES, doneCount: 1 },
+      isFaulty: false,
+    },
+    { name: "it runs somewhere", history: { failedOn: MANY_MACHINES, runsOn: ["m7"] }, isFaulty: false },
+    {
+      name: "it runs only where it failed before",
+      history: { failedOn: MANY_MACHINES, runsOn: ["m2"] },
+      isFaulty: true,
+    },
+  ];
+  for (const { name, history, isFaulty } of cases)
+    test(name, () => assert.equal(jobLooksFaulty(buildJob(history)), isFaulty));
+});
+
+/** Their users cancel them in the end; until then they are known, and cost the others nothing. */
+test("jobs submitted with a mistake fail everywhere: little room, no machine blamed, the team's other work goes on", async () => {
+  const world = new World(41, { capacity: 10 });
+  world.fleet.failsEverywhere = (ref) => ref.startsWith("job-6");
+  await world.run(3);
+  const faultyJobs = [0, 1, 2].map((i) =>
+    world.users.submit(
+      { ref: `job-60000${i}`, crew: "one", spores: 40, cores: 1, memoryGb: 1, rank: "high" },
+      5,
+    ),
+  );
+  await world.run(20);
+  const soundJobs = [0, 1, 2, 3].map((i) =>
+    world.users.submit(
+      { ref: `job-50000${i}`, crew: i % 2 ? "one" : "two", spores: 8, cores: 1, memoryGb: 1 },
+      4,
+    ),
+  );
+  const startedBefore = world.startedTasks;
+  await world.run(60);
+  for (const job of soundJobs) assert.equal(job.finalPhase, "done", `${job.spec.ref} in time`);
+  assert.ok(
+    world.startedTasks - startedBefore < 32 + 3 * 2 * 20,
+    `${world.startedTasks - startedBefore} starts`,
+  );
+  const machineCount = world.cloud.machines.size;
+  assert.ok(machineCount <= 6, `${machineCount} machines for it`);
+  for (const job of faultyJobs) world.users.cancel(job);
+  await world.run(15);
+  for (const job of faultyJobs) assert.equal(job.finalPhase, "withdrawn");
+  assert.deepEqual(world.violations, []);
+});
