--- /dev/null
+++ b/src/coordination/scheduling/guarantee.ts
@@ -0,0 +1,38 @@
+import type { Job } from "../../bookkeeping/workload.js";
+import type { Team } from "../../settings/platform.js";
+import { ROUNDING_TOLERANCE } from "./fitting.js";
+import { groupBy } from "./groupBy.js";
+
+/**
+ * The jobs that fall within their team's guaranteed quota: those that fit into it along with the team's unfinished jobs
+ * that were accepted earlier. Pure.
+ */
+export function jobsWithinGuarantee(jobs: Iterable<Job>, teams: Map<string, Team>): Set<Job> {
+  const jobsByTeam = groupBy(
+    [...jobs].filter((job) => !job.isCancelled),
+    (job) => job.spec.team,
+  );
+  const guaranteed = new Set<Job>();
+  for (const [name, teamJobs] of jobsByTeam) {
+    const team = teams.get(name);
+    if (team) addJobsWithinGuarantee(guaranteed, teamJobs, team);
+  }
+  return guaranteed;
+}
+
+function addJobsWithinGuarantee(guaranteed: Set<Job>, teamJobs: Job[], team: Team): void {
+  teamJobs.sort(byAcceptance);
+  let cpus = 0;
+  let gpus = 0;
+  for (const job of teamJobs) {
+    cpus += job.spec.cpus * job.spec.tasks;
+    gpus += job.spec.gpus * job.spec.tasks;
+    const fitsCpus = cpus <= team.guaranteedCpus + ROUNDING_TOLERANCE;
+    const fitsGpus = gpus <= team.guaranteedGpus + ROUNDING_TOLERANCE;
+    if (fitsCpus && fitsGpus) guaranteed.add(job);
+  }
+}
+
+function byAcceptance(left: Job, right: Job): number {
+  return left.acceptedAt.getTime() - right.acceptedAt.getTime() || (left.id < right.id ? -1 : 1);
+}
--- a/src/coordination/scheduling/guaranteedJobs.ts
+++ b/src/coordination/scheduling/guaranteedJobs.ts
@@ -1,7 +1,7 @@
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Job } from "../../bookkeeping/workload.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
-import { jobsWithinGuarantee } from "./queue.js";
+import { jobsWithinGuarantee } from "./guarantee.js";
 
 /** Owns the set of jobs that fall within their team's guarantee; derived again only when the set of jobs has changed. */
 export class GuaranteedJobs {
--- a/src/coordination/scheduling/jobViews.ts
+++ b/src/coordination/scheduling/jobViews.ts
@@ -3,7 +3,7 @@
 import type { Objective } from "../../settings/platform.js";
 import { jobLooksFaulty } from "./failureDetection.js";
 import { waitTargetLeftS } from "./objectiveTargets.js";
-import type { QueueEntry } from "./queue.js";
+import type { QueueEntry } from "./queueEntry.js";
 import type { JobView } from "./views.js";
 
 /** A job that fails wherever it starts has at most this many tasks at once, until one succeeds. */
--- a/src/coordination/scheduling/queueEntries.ts
+++ b/src/coordination/scheduling/queueEntries.ts
@@ -4,7 +4,8 @@
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { Estimates } from "./estimates.js";
 import { longestTargetS } from "./objectiveTargets.js";
-import { OVERDUE_S, completionTargetsS, type QueueEntry } from "./queue.js";
+import { completionTargetsS } from "./completionTargets.js";
+import { OVERDUE_S, type QueueEntry } from "./queueEntry.js";
 
 /** No task counts as shorter than this: a start costs about as much. */
 const MIN_TASK_S = 1;
--- a/src/coordination/scheduling/stopCost.ts
+++ b/src/coordination/scheduling/stopCost.ts
@@ -1,6 +1,6 @@
 /** What stopping a running attempt would cost, and which attempts of a machine may be stopped at all. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
-import { EARLY_START_TASKS, OVERDUE_S } from "./queue.js";
+import { EARLY_START_TASKS, OVERDUE_S } from "./queueEntry.js";
 import type { VictimView } from "./views.js";
 
 /** An attempt that is stopped sooner than this after its start doesn't count as a start to the job's users. */
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -1,7 +1,9 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { serveOrder, completionTargetsS, type QueueEntry } from "../src/coordination/scheduling/queue.js";
+import { completionTargetsS } from "../src/coordination/scheduling/completionTargets.js";
 import { cycleGapMs } from "../src/coordination/scheduling/cycleGap.js";
+import { serveOrder } from "../src/coordination/scheduling/queue.js";
+import type { QueueEntry } from "../src/coordination/scheduling/queueEntry.js";
 import type { Job } from "../src/bookkeeping/workload.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
