--- a/src/coordination/scheduling/quotaView.ts
+++ b/src/coordination/scheduling/quotaView.ts
@@ -4,63 +4,83 @@
 import type { QuotaView } from "./views.js";
 
 /**
- * The teams' limits as one scheduling cycle sees them (rule `quota`): what is used, less what the cycle plans. Sums over
- * all tasks are made only for a team that is at its limit.
+ * The teams' limits as one scheduling cycle sees them (rule `quota`): what is used, and what the cycle plans. Sums over
+ * all tasks are made once, and only for a team that is at its limit.
  */
 export function quotaView(usage: QuotaUsage, jobs: ReadonlyMap<string, Job>): QuotaView {
-  const planned = new Map<string, TeamAmount>();
-  const stopping = new Map<string, TeamAmount>();
-  const lasting = new Map<string, TeamAmount>();
+  return new CycleQuota(usage, jobs);
+}
+
+class CycleQuota implements QuotaView {
+  private readonly plannedByTeam = new Map<string, TeamAmount>();
+  private readonly stoppingByTeam = new Map<string, TeamAmount>();
+  private readonly lastingByTeamAndPriority = new Map<string, TeamAmount>();
+
+  constructor(
+    private readonly usage: QuotaUsage,
+    private readonly jobs: ReadonlyMap<string, Job>,
+  ) {}
+
+  room(spec: JobSpec): number {
+    return this.usage.tasksAllowed(spec, this.planned(spec.team));
+  }
 
-  const plannedOf = (team: string): TeamAmount => planned.get(team) ?? { cpus: 0, gpus: 0 };
+  roomWhenStopped(spec: JobSpec): number {
+    const planned = this.planned(spec.team);
+    const stopping = this.stopping(spec.team);
+    return this.usage.tasksAllowed(spec, {
+      cpus: planned.cpus - stopping.cpus,
+      gpus: planned.gpus - stopping.gpus,
+    });
+  }
 
-  const stoppingOf = (team: string): TeamAmount => {
-    let sum = stopping.get(team);
-    if (!sum) {
-      sum = { cpus: 0, gpus: 0 };
-      for (const job of jobs.values()) {
-        if (job.spec.team !== team) continue;
-        for (const attempt of job.attempts) if (attempt.stop) addTasks(sum, job.spec, 1);
-      }
-      stopping.set(team, sum);
+  attainable(spec: JobSpec): number {
+    const lasting = this.lasting(spec);
+    const planned = this.planned(spec.team);
+    return this.usage.tasksAllowedBeside(spec, {
+      cpus: lasting.cpus + planned.cpus,
+      gpus: lasting.gpus + planned.gpus,
+    });
+  }
+
+  take(spec: JobSpec, tasks: number): void {
+    const planned = this.planned(spec.team);
+    addTasks(planned, spec, tasks);
+    this.plannedByTeam.set(spec.team, planned);
+  }
+
+  private planned(team: string): TeamAmount {
+    return this.plannedByTeam.get(team) ?? { cpus: 0, gpus: 0 };
+  }
+
+  /** What the team's tasks hold that are being stopped. */
+  private stopping(team: string): TeamAmount {
+    const known = this.stoppingByTeam.get(team);
+    if (known) return known;
+    const sum: TeamAmount = { cpus: 0, gpus: 0 };
+    for (const job of this.jobs.values()) {
+      if (job.spec.team !== team) continue;
+      for (const attempt of job.attempts) if (attempt.stop) addTasks(sum, job.spec, 1);
     }
+    this.stoppingByTeam.set(team, sum);
     return sum;
-  };
+  }
 
-  const lastingOf = (spec: JobSpec): TeamAmount => {
-    const key = `${spec.team} ${spec.priority}`;
-    let sum = lasting.get(key);
-    if (!sum) {
-      sum = { cpus: 0, gpus: 0 };
-      for (const job of jobs.values()) {
-        if (job.spec.team === spec.team && lasts(job.spec, spec)) addTasks(sum, job.spec, job.attempts.size);
-      }
-      lasting.set(key, sum);
+  /** What the job's team keeps for good, as far as the job can tell. */
+  private lasting(waiting: JobSpec): TeamAmount {
+    const key = `${waiting.team} ${waiting.priority}`;
+    const known = this.lastingByTeamAndPriority.get(key);
+    if (known) return known;
+    const sum: TeamAmount = { cpus: 0, gpus: 0 };
+    for (const { spec, attempts } of this.jobs.values()) {
+      if (spec.team === waiting.team && isLasting(spec, waiting)) addTasks(sum, spec, attempts.size);
     }
+    this.lastingByTeamAndPriority.set(key, sum);
     return sum;
-  };
-
-  return {
-    room: (spec) => usage.tasksAllowed(spec, plannedOf(spec.team)),
-    roomWhenStopped: (spec) => {
-      const plan = plannedOf(spec.team);
-      const gone = stoppingOf(spec.team);
-      return usage.tasksAllowed(spec, { cpus: plan.cpus - gone.cpus, gpus: plan.gpus - gone.gpus });
-    },
-    attainable: (spec) => {
-      const { cpus, gpus } = lastingOf(spec);
-      const plan = plannedOf(spec.team);
-      return usage.tasksAllowedBeside(spec, { cpus: cpus + plan.cpus, gpus: gpus + plan.gpus });
-    },
-    take: (spec, tasks) => {
-      const sum = plannedOf(spec.team);
-      addTasks(sum, spec, tasks);
-      planned.set(spec.team, sum);
-    },
-  };
+  }
 }
 
-/** Tasks of arrays end soon, or may be stopped for greater work; services and gangs keep what they have. */
-function lasts(running: JobSpec, waiting: JobSpec): boolean {
+/** Tasks of arrays end soon, or may be stopped for work of a higher priority; services and gangs keep what they have. */
+function isLasting(running: JobSpec, waiting: JobSpec): boolean {
   return running.kind !== "array" || running.priority > waiting.priority;
 }
