--- a/src/bookkeeping/liveJobCache.ts
+++ b/src/bookkeeping/liveJobCache.ts
@@ -85,7 +85,7 @@
       const got = await this.state.watch(keys.live, this.revision, 0, deadlineMs);
       if (got.kind === "ok") {
         for (const e of got.events) {
-          if ("gone" in e) this.jobs.delete(e.key.slice(keys.live.length));
+          if ("isDeleted" in e) this.jobs.delete(e.key.slice(keys.live.length));
           else this.put(e);
         }
         this.revision = Math.max(this.revision, got.revision);
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -272,7 +272,7 @@
   handleRequest(request: ServerRequest, reply: (answer: ServerResponse) => void): void {
     const call = routeRequest(request.method, request.path);
     switch (call.call) {
-      case "report": {
+      case "heartbeat": {
         const heartbeat = decodeHeartbeat(parseJson(request.body));
         if (!heartbeat) {
           reply({ status: 400, body: { error: "not a report" } });
--- a/src/coordination/admission/admission.ts
+++ b/src/coordination/admission/admission.ts
@@ -126,7 +126,7 @@
 
   private async submit(value: unknown): Promise<ServerResponse> {
     const decoded = decodeSubmission(value);
-    if ("wrong" in decoded) return { status: 400, body: { error: decoded.wrong } };
+    if (decoded.kind === "malformed") return { status: 400, body: { error: decoded.reason } };
     const { spec } = decoded;
     const deadline = this.options.clock.nowMs() + SUBMIT_MS;
     const final = this.finals.get(spec.id);
--- a/src/coordination/records/recordWatcher.ts
+++ b/src/coordination/records/recordWatcher.ts
@@ -66,7 +66,7 @@
         break;
     }
     this.revision = Math.max(this.revision, outcome.revision);
-    for (const event of outcome.events) if (!("gone" in event)) this.context.jobRecords.applyHead(event);
+    for (const event of outcome.events) if (!("isDeleted" in event)) this.context.jobRecords.applyHead(event);
     this.readUntilMs = Math.max(this.readUntilMs, sentMs);
     this.watch();
     this.context.cycles.requestCycle();
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,5 +1,18 @@
+/** Requests to the cloud and its responses. The cloud's own words end here. */
 import type { ListedMachine, MachineType } from "./model.js";
-import { asNonNegativeNumber, asArray, asObject, asNonEmptyString, type JsonObject } from "./json.js";
+import {
+  asArray,
+  asNonEmptyString,
+  asNonNegativeNumber,
+  asObject,
+  asStrings,
+  type JsonObject,
+} from "./json.js";
+
+/** Assumed where the cloud doesn't say it, or says zero. */
+const DEFAULT_FETCH_GB_PER_S = 0.1;
+/** Assumed where the cloud doesn't say it. */
+const DEFAULT_BOOT_S = 60;
 
 export const cloudPaths = {
   machineTypes: "/flavors",
@@ -9,34 +22,41 @@
     `/machines?after=${encodeURIComponent(after)}&limit=${limit}`,
 };
 
+/** Null when the response can't be read; a type without name, size or zones is left out. */
 export function decodeMachineTypes(value: unknown): MachineType[] | null {
-  const list = asArray(asObject(value)?.breeds);
-  if (!list) return null;
+  const entries = asArray(asObject(value)?.breeds);
+  if (!entries) return null;
   const types: MachineType[] = [];
-  for (const entry of list) {
-    const o = asObject(entry);
-    const name = asNonEmptyString(o?.name);
-    const cpus = asNonNegativeNumber(o?.cores);
-    const memoryGb = asNonNegativeNumber(o?.memoryGb);
-    const zones = asArray(o?.patches);
-    if (!o || name === null || cpus === null || memoryGb === null || !zones) continue;
-    const price = asNonNegativeNumber(o.price) ?? 0;
-    types.push({
-      name,
-      cpus,
-      gpus: asNonNegativeNumber(o.gpus) ?? 0,
-      memoryGb,
-      cacheGb: asNonNegativeNumber(o.cacheGb) ?? 0,
-      fetchGbPerS: asNonNegativeNumber(o.fetchGbPerS) || 0.1,
-      price,
-      spotPrice: asNonNegativeNumber(o.lowPrice) ?? price,
-      bootS: asNonNegativeNumber(o.bootS) ?? 60,
-      zones: zones.filter((z): z is string => asNonEmptyString(z) !== null),
-    });
+  for (const entry of entries) {
+    const type = decodeMachineType(entry);
+    if (type) types.push(type);
   }
   return types;
 }
 
+function decodeMachineType(value: unknown): MachineType | null {
+  const entry = asObject(value);
+  const name = asNonEmptyString(entry?.name);
+  const cpus = asNonNegativeNumber(entry?.cores);
+  const memoryGb = asNonNegativeNumber(entry?.memoryGb);
+  const zones = asStrings(entry?.patches);
+  if (!entry || name === null || cpus === null || memoryGb === null || !zones) return null;
+  const price = asNonNegativeNumber(entry.price) ?? 0;
+  return {
+    name,
+    cpus,
+    gpus: asNonNegativeNumber(entry.gpus) ?? 0,
+    memoryGb,
+    cacheGb: asNonNegativeNumber(entry.cacheGb) ?? 0,
+    fetchGbPerS: asNonNegativeNumber(entry.fetchGbPerS) || DEFAULT_FETCH_GB_PER_S,
+    price,
+    spotPrice: asNonNegativeNumber(entry.lowPrice) ?? price,
+    bootS: asNonNegativeNumber(entry.bootS) ?? DEFAULT_BOOT_S,
+    zones,
+  };
+}
+
+/** In the form of the cloud's own response: the leader stores it for controllers that start without the cloud. */
 export function encodeMachineTypes(types: MachineType[]): JsonObject {
   return {
     breeds: types.map((type) => ({
@@ -54,22 +74,23 @@
   };
 }
 
+/** Idempotent: the cloud creates the machines of one `requestId` once, however often it is sent. */
 export function encodeCreateMachines(
-  request: string,
+  requestId: string,
   type: string,
   zone: string,
   spot: boolean,
   count: number,
 ): JsonObject {
-  return { plea: request, breed: type, patch: zone, windfall: spot, howMany: count };
+  return { plea: requestId, breed: type, patch: zone, windfall: spot, howMany: count };
 }
 
-/** The names rented, or null when the answer can't be read. */
+/** The names of the machines created; null when the response can't be read. */
 export function decodeCreatedMachines(value: unknown): string[] | null {
-  const list = asArray(asObject(value)?.tufts);
-  return list ? list.filter((n): n is string => asNonEmptyString(n) !== null) : null;
+  return asStrings(asObject(value)?.tufts);
 }
 
+/** The body of a 503 that says that the cloud has no such machines left, rather than that it is overloaded. */
 export function isNoCapacity(value: unknown): boolean {
   return asObject(value)?.error === "no capacity";
 }
@@ -78,25 +99,32 @@
   return { tufts: names };
 }
 
+/** One page of the cloud's machines; null when the response can't be read. Entries that can't be read are left out. */
 export function decodeMachineList(value: unknown): { machines: ListedMachine[]; more: boolean } | null {
-  const o = asObject(value);
-  const list = asArray(o?.tufts);
-  if (!o || !list) return null;
+  const page = asObject(value);
+  const entries = asArray(page?.tufts);
+  if (!page || !entries) return null;
   const machines: ListedMachine[] = [];
-  for (const entry of list) {
-    const m = asObject(entry);
-    const name = asNonEmptyString(m?.ref);
-    const phase = asNonEmptyString(m?.phase);
-    if (!m || name === null || (phase !== "starting" && phase !== "running" && phase !== "failed")) continue;
-    machines.push({
-      name,
-      address: asNonEmptyString(m.address) ?? "",
-      type: asNonEmptyString(m.breed) ?? "",
-      zone: asNonEmptyString(m.patch) ?? "",
-      spot: m.windfall === true,
-      phase,
-      ageS: asNonNegativeNumber(m.ageS) ?? 0,
-    });
+  for (const entry of entries) {
+    const machine = decodeListedMachine(entry);
+    if (machine) machines.push(machine);
   }
-  return { machines, more: o.more === true };
+  return { machines, more: page.more === true };
+}
+
+function decodeListedMachine(value: unknown): ListedMachine | null {
+  const entry = asObject(value);
+  const name = asNonEmptyString(entry?.ref);
+  const phase = entry?.phase;
+  if (!entry || name === null) return null;
+  if (phase !== "starting" && phase !== "running" && phase !== "failed") return null;
+  return {
+    name,
+    address: asNonEmptyString(entry.address) ?? "",
+    type: asNonEmptyString(entry.breed) ?? "",
+    zone: asNonEmptyString(entry.patch) ?? "",
+    spot: entry.windfall === true,
+    phase,
+    ageS: asNonNegativeNumber(entry.ageS) ?? 0,
+  };
 }
--- a/src/protocol/json.ts
+++ b/src/protocol/json.ts
@@ -1,4 +1,5 @@
-/** Small checks shared by the codecs. */
+/** Checks of JSON values whose form is not known yet: each gives the value back if it is of the kind named, else null. */
+
 export type JsonObject = Record<string, unknown>;
 
 export function asObject(value: unknown): JsonObject | null {
@@ -9,6 +10,11 @@
   return typeof value === "string" && value !== "" ? value : null;
 }
 
+export function asBoolean(value: unknown): boolean | null {
+  return typeof value === "boolean" ? value : null;
+}
+
+/** Finite. */
 export function asNonNegativeNumber(value: unknown): number | null {
   return typeof value === "number" && Number.isFinite(value) && value >= 0 ? value : null;
 }
@@ -21,6 +27,11 @@
   return Array.isArray(value) ? (value as unknown[]) : null;
 }
 
+/** The array's non-empty strings; whatever else it holds is left out. Null when it is no array. */
+export function asStrings(value: unknown): string[] | null {
+  return asArray(value)?.filter((entry): entry is string => asNonEmptyString(entry) !== null) ?? null;
+}
+
 /** Parses JSON; undefined when it isn't. */
 export function parseJson(body: Buffer): unknown {
   try {
--- a/src/protocol/model.ts
+++ b/src/protocol/model.ts
@@ -1,15 +1,18 @@
-/** The field's own terms. The words on the wire are known only to the codecs beside this file. */
+/** The types that all layers share, in the scheduler's own terms. Words of the wire are known only to the codecs beside. */
 
 export type JobKind = "array" | "gang" | "service";
 /** Higher runs first. */
 export type Priority = 0 | 1 | 2 | 3;
 
+/** A job as its user described it. Stored as it is: its field names are part of the stored form. */
 export interface JobSpec {
   id: string;
+  /** Jobs of one class run alike: their run times are estimated together. */
   className: string;
   team: string;
   kind: JobKind;
   priority: Priority;
+  /** Number of tasks; each of them takes the resources below. */
   tasks: number;
   cpus: number;
   gpus: number;
@@ -18,47 +21,66 @@
   imageGb: number;
   /** Allowed machine types; null: any. */
   types: string[] | null;
+  /** The only allowed zone; null: any. */
   zone: string | null;
+  /** All tasks in the same zone. */
   oneZone: boolean;
+  /** No zone takes more than half of the tasks, rounded up. */
   spread: boolean;
+  /** Allowed on spot instances. */
   spot: boolean;
+  /** The user's estimate of a task's run time. */
   estimateS: number;
+  /** Time between two checkpoints; 0: none. */
   checkpointS: number;
+  /** Time that a checkpoint takes. */
   saveS: number;
+  /** From acceptance; null: none. */
   deadlineS: number | null;
 }
 
+/** "waiting": ready, until the whole gang is; "saving": writing a checkpoint before it stops. */
 export type TaskPhase = "fetching" | "waiting" | "running" | "saving" | "exited";
+/** Why an attempt ended, as its worker says. */
 export type ExitCause =
   "done" | "stopped" | "peers" | "incomplete" | "error" | "no_room" | "in_use" | "unknown" | "other";
 
+/** One attempt at a task, as a worker reports it. */
 export interface TaskStatus {
   jobId: string;
+  /** Number within the job, from 0. */
   task: number;
   attempt: number;
   phase: TaskPhase;
+  /** Null unless it has exited. */
   cause: ExitCause | null;
+  /** A checkpoint was written on its way out. */
   saved: boolean;
 }
 
 export interface Heartbeat {
   machine: string;
+  /** Host and port at which the worker takes commands. */
   address: string;
   type: string;
   zone: string;
   spot: boolean;
+  /** Higher after each restart of the worker. */
   epoch: number;
+  /** One more in each heartbeat of an epoch. */
   tick: number;
   /** The highest token the worker has seen. */
   fencingToken: number;
-  /** Seconds until the cloud takes the machine; null: no notice. */
+  /** Seconds until the cloud interrupts the machine; null: no notice. */
   interruptionNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
 export type Command =
   | { op: "start"; jobId: string; task: number; attempt: number }
+  /** The task has so long to write a checkpoint. */
   | { op: "stop"; jobId: string; task: number; attempt: number; graceS: number }
+  /** Forget an attempt that has exited. */
   | { op: "reap"; jobId: string; task: number; attempt: number };
 
 export interface MachineType {
@@ -67,16 +89,21 @@
   gpus: number;
   memoryGb: number;
   cacheGb: number;
+  /** How fast images are fetched. */
   fetchGbPerS: number;
-  /** Per hour, now. */
+  /** Per hour, at present. */
   price: number;
+  /** Per hour, at present, as a spot instance. */
   spotPrice: number;
+  /** Usual time from a machine's creation until it runs. */
   bootS: number;
   zones: string[];
 }
 
+/** A machine in the cloud's own list. */
 export interface ListedMachine {
   name: string;
+  /** Empty until it runs. */
   address: string;
   type: string;
   zone: string;
@@ -85,14 +112,14 @@
   ageS: number;
 }
 
-/** A report that was acknowledged and said nothing new. */
+/** A heartbeat that was acknowledged and differs from the worker's last one in nothing but the tick. */
 export interface UnchangedHeartbeat {
   machine: string;
   epoch: number;
   tick: number;
 }
 
-/** A report as another controller took it in, so long ago. */
+/** A heartbeat that another controller received, so long before it passed it on. */
 export interface ReceivedHeartbeat {
   ageMs: number;
   heartbeat: Heartbeat;
@@ -110,8 +137,9 @@
 export interface DeliveryResult {
   machine: string;
   fencingToken: number;
-  /** Null: no answer, so it may be carried out at any later time. */
+  /** HTTP status; null: no response, so the commands may be carried out at any later time, unless `neverSent`. */
   status: number | null;
   neverSent: boolean;
+  /** The worker's heartbeat that came with the response, if any. */
   heartbeat: Heartbeat | null;
 }
--- a/src/protocol/stateStore.ts
+++ b/src/protocol/stateStore.ts
@@ -1,73 +1,109 @@
-import { asNonNegativeInteger, asArray, asObject, asNonEmptyString, type JsonObject } from "./json.js";
+/** Requests to the state store, a consensus-backed key-value store, and its responses. Its own words end here. */
+import {
+  asArray,
+  asNonEmptyString,
+  asNonNegativeInteger,
+  asObject,
+  asStrings,
+  type JsonObject,
+} from "./json.js";
 
+/** A key with its value and the version by which a compare-and-swap names it. */
 export interface Item {
   key: string;
   value: unknown;
   version: number;
 }
+
+/** What a compare-and-swap does to one key; a key with a lease is deleted when the lease ends. */
 export type Change = { put: string; value: unknown; lease?: number } | { drop: string };
+
+/** A compare-and-swap is executed only if each of these keys still has this version. */
 export interface VersionCondition {
   key: string;
   /** 0: the key does not exist. */
   version: number;
 }
+
+/** What a watch has seen: a key got this value, or was deleted. */
 export type ChangeEvent =
-  { key: string; value: unknown; version: number } | { key: string; gone: true; version: number };
+  { key: string; value: unknown; version: number } | { key: string; isDeleted: true; version: number };
+
+export interface Page {
+  items: Item[];
+  /** The keys go on behind the last item. */
+  more: boolean;
+  /** Of the whole store, when the page was read. */
+  revision: number;
+}
+
+export interface ChangeEvents {
+  /** Watch on from here. */
+  revision: number;
+  events: ChangeEvent[];
+}
 
 export const stateStorePaths = {
   key: (key: string): string => `/keys/${key}`,
-  page: (prefix: string, after: string | null, limit: number): string =>
-    `/keys?prefix=${encodeURIComponent(prefix)}${after === null ? "" : `&after=${encodeURIComponent(after)}`}&limit=${limit}`,
+  page: (prefix: string, after: string | null, limit: number): string => {
+    const from = after === null ? "" : `&after=${encodeURIComponent(after)}`;
+    return `/keys?prefix=${encodeURIComponent(prefix)}${from}&limit=${limit}`;
+  },
   compareAndSwap: "/commit",
   leases: "/holds",
-  renew: (id: number): string => `/holds/${id}/renew`,
-  lease: (id: number): string => `/holds/${id}`,
-  watch: (prefix: string, after: number, waitMs: number): string =>
-    `/changes?prefix=${encodeURIComponent(prefix)}&after=${after}&holdMs=${waitMs}`,
+  lease: (leaseId: number): string => `/holds/${leaseId}`,
+  renew: (leaseId: number): string => `/holds/${leaseId}/renew`,
+  watch: (prefix: string, afterRevision: number, waitMs: number): string =>
+    `/changes?prefix=${encodeURIComponent(prefix)}&after=${afterRevision}&holdMs=${waitMs}`,
 };
 
-export function encodeCompareAndSwap(guards: VersionCondition[], changes: Change[]): JsonObject {
+function encodeChange(change: Change): JsonObject {
+  if ("drop" in change) return { drop: change.drop };
+  const put = { set: change.put, data: change.value };
+  return change.lease === undefined ? put : { ...put, tenure: change.lease };
+}
+
+export function encodeCompareAndSwap(conditions: VersionCondition[], changes: Change[]): JsonObject {
   return {
-    guards: guards.map((g) => ({ path: g.key, stamp: g.version })),
-    then: changes.map((change) => {
-      if ("drop" in change) return { drop: change.drop };
-      return change.lease === undefined
-        ? { set: change.put, data: change.value }
-        : { set: change.put, data: change.value, tenure: change.lease };
-    }),
+    guards: conditions.map((condition) => ({ path: condition.key, stamp: condition.version })),
+    then: changes.map(encodeChange),
   };
 }
 
+/** Null when the response can't be read. */
 export function decodeRevision(value: unknown): number | null {
   return asNonNegativeInteger(asObject(value)?.ring);
 }
 
+/** The keys that no longer had the version of their condition; none when the response can't be read. */
 export function decodeFailedKeys(value: unknown): string[] {
-  const list = asArray(asObject(value)?.failed) ?? [];
-  return list.filter((k): k is string => asNonEmptyString(k) !== null);
+  return asStrings(asObject(value)?.failed) ?? [];
 }
 
+/** Null when the response can't be read. */
 export function decodeItem(value: unknown): Item | null {
-  const o = asObject(value);
-  const key = asNonEmptyString(o?.path);
-  const version = asNonNegativeInteger(o?.stamp);
-  return o && key !== null && version !== null ? { key, value: o.data, version } : null;
+  const item = asObject(value);
+  const key = asNonEmptyString(item?.path);
+  const version = asNonNegativeInteger(item?.stamp);
+  return item && key !== null && version !== null ? { key, value: item.data, version } : null;
 }
 
-export function decodePage(value: unknown): { items: Item[]; more: boolean; revision: number } | null {
-  const o = asObject(value);
-  const list = asArray(o?.entries);
-  const revision = asNonNegativeInteger(o?.ring);
-  if (!o || !list || revision === null) return null;
+/** Null when the response can't be read, even in one item: what is left out would look absent. */
+export function decodePage(value: unknown): Page | null {
+  const page = asObject(value);
+  const entries = asArray(page?.entries);
+  const revision = asNonNegativeInteger(page?.ring);
+  if (!page || !entries || revision === null) return null;
   const items: Item[] = [];
-  for (const entry of list) {
+  for (const entry of entries) {
     const item = decodeItem(entry);
     if (!item) return null;
     items.push(item);
   }
-  return { items, more: o.more === true, revision };
+  return { items, more: page.more === true, revision };
 }
 
+/** Null when the response can't be read. */
 export function decodeLeaseId(value: unknown): number | null {
   return asNonNegativeInteger(asObject(value)?.tenure);
 }
@@ -76,20 +112,21 @@
   return { lifeMs: ttlMs };
 }
 
-export function decodeChangeEvents(value: unknown): { revision: number; events: ChangeEvent[] } | null {
-  const o = asObject(value);
-  const revision = asNonNegativeInteger(o?.ring);
-  const list = asArray(o?.news);
-  if (!o || revision === null || !list) return null;
+/** Null when the response can't be read; changes that are neither a put nor a deletion are left out. */
+export function decodeChangeEvents(value: unknown): ChangeEvents | null {
+  const response = asObject(value);
+  const revision = asNonNegativeInteger(response?.ring);
+  const entries = asArray(response?.news);
+  if (revision === null || !entries) return null;
   const events: ChangeEvent[] = [];
-  for (const entry of list) {
-    const e = asObject(entry);
-    const version = asNonNegativeInteger(e?.stamp);
-    if (!e || version === null) return null;
-    const put = asNonEmptyString(e.set);
-    const drop = asNonEmptyString(e.drop);
-    if (put !== null) events.push({ key: put, value: e.data, version });
-    else if (drop !== null) events.push({ key: drop, gone: true, version });
+  for (const entry of entries) {
+    const change = asObject(entry);
+    const version = asNonNegativeInteger(change?.stamp);
+    if (!change || version === null) return null;
+    const put = asNonEmptyString(change.set);
+    const deleted = asNonEmptyString(change.drop);
+    if (put !== null) events.push({ key: put, value: change.data, version });
+    else if (deleted !== null) events.push({ key: deleted, isDeleted: true, version });
   }
   return { revision, events };
 }
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -1,10 +1,12 @@
+/** The users' interface: submissions, the state of jobs, and which request a path means. The users' own words end here. */
 import type { JobKind, JobSpec, Priority } from "./model.js";
 import {
-  asNonNegativeNumber,
-  asNonNegativeInteger,
   asArray,
-  asObject,
+  asBoolean,
   asNonEmptyString,
+  asNonNegativeInteger,
+  asNonNegativeNumber,
+  asObject,
   type JsonObject,
 } from "./json.js";
 
@@ -14,6 +16,7 @@
 const JOB_ID = /^job-[0-9]{1,40}$/;
 
 export type JobPhase = "pending" | "running" | "done" | "cancelled";
+
 const PHASE_WORDS: Record<JobPhase, string> = {
   pending: "pending",
   running: "running",
@@ -25,118 +28,153 @@
   return JOB_ID.test(text);
 }
 
-/** A submission as its users write it, or what is wrong with it. */
-export function decodeSubmission(value: unknown): { spec: JobSpec } | { wrong: string } {
-  const o = asObject(value);
-  if (!o) return { wrong: "the body must be a JSON object" };
-  const wrong: string[] = [];
-  const need = <T>(field: string, read: (v: unknown) => T | null, fallback: T): T => {
-    const got = read(o[field]);
-    if (got === null) wrong.push(field);
-    return got ?? fallback;
-  };
+/** One field of a submission: the users' name for it, and how its value is read and written. */
+interface SubmissionField<T> {
+  name: string;
+  /** Null: the value is malformed. */
+  decode(value: unknown): T | null;
+  encode(value: T): unknown;
   /** Null and missing mean the same. */
-  const maybe = <T>(field: string, read: (v: unknown) => T | null): T | null => {
-    if (o[field] === undefined || o[field] === null) return null;
-    return need(field, read as (v: unknown) => (T & {}) | null, null as never);
-  };
-  const flag = (v: unknown): boolean | null => (typeof v === "boolean" ? v : null);
-  const names = (v: unknown): string[] | null => {
-    const list = asArray(v);
-    return list && list.every((x) => asNonEmptyString(x) !== null) ? (list as string[]) : null;
-  };
-  const spec: JobSpec = {
-    id: need("ref", (v) => (typeof v === "string" && isJobId(v) ? v : null), ""),
-    className: need("strain", asNonEmptyString, ""),
-    team: need("crew", asNonEmptyString, ""),
-    kind: need("form", (v) => (typeof v === "string" && Object.hasOwn(KINDS, v) ? KINDS[v]! : null), "array"),
-    priority: need(
-      "rank",
-      (v) => (typeof v === "string" && Object.hasOwn(PRIORITIES, v) ? PRIORITIES[v]! : null),
-      1,
-    ),
-    tasks: need(
-      "spores",
-      (v) => {
-        const n = asNonNegativeInteger(v);
-        return n !== null && n >= 1 && n <= MAX_TASKS ? n : null;
-      },
-      1,
-    ),
-    cpus: need("cores", asNonNegativeNumber, 0),
-    gpus: need("gpus", asNonNegativeNumber, 0),
-    memoryGb: need("memoryGb", asNonNegativeNumber, 0),
-    image: need("seedstock", asNonEmptyString, ""),
-    imageGb: need("pullGb", asNonNegativeNumber, 0),
-    types: maybe("breeds", names),
-    zone: maybe("patch", asNonEmptyString),
-    oneZone: need("together", flag, false),
-    spread: need("scatter", flag, false),
-    spot: need("windfall", flag, false),
-    estimateS: need("guessS", asNonNegativeNumber, 0),
-    checkpointS: need("cairnS", asNonNegativeNumber, 0),
-    saveS: need("stashS", asNonNegativeNumber, 0),
-    deadlineS: maybe("dueS", asNonNegativeNumber),
-  };
-  return wrong.length > 0 ? { wrong: `missing or invalid: ${wrong.join(", ")}` } : { spec };
+  isOptional: boolean;
 }
 
-/** A submission as it goes over the wire: the command line's own client uses it. */
-export function encodeSubmission(spec: JobSpec): JsonObject {
-  const word = <T>(table: Record<string, T>, value: T): string =>
-    Object.keys(table).find((key) => table[key] === value)!;
+function required<T>(name: string, decode: (value: unknown) => T | null): SubmissionField<T> {
+  return { name, decode, encode: (value) => value, isOptional: false };
+}
+
+function optional<T>(name: string, decode: (value: unknown) => T | null): SubmissionField<T | null> {
+  return { name, decode, encode: (value) => value, isOptional: true };
+}
+
+/** A field whose value is one of a table's words. */
+function oneOf<T>(name: string, values: Record<string, T>): SubmissionField<T> {
   return {
-    ref: spec.id,
-    strain: spec.className,
-    crew: spec.team,
-    form: word(KINDS, spec.kind),
-    rank: word(PRIORITIES, spec.priority),
-    spores: spec.tasks,
-    cores: spec.cpus,
-    gpus: spec.gpus,
-    memoryGb: spec.memoryGb,
-    seedstock: spec.image,
-    pullGb: spec.imageGb,
-    breeds: spec.types,
-    patch: spec.zone,
-    together: spec.oneZone,
-    scatter: spec.spread,
-    windfall: spec.spot,
-    guessS: spec.estimateS,
-    cairnS: spec.checkpointS,
-    stashS: spec.saveS,
-    dueS: spec.deadlineS,
+    name,
+    decode: (word) => (typeof word === "string" && Object.hasOwn(values, word) ? values[word]! : null),
+    encode: (value) => Object.keys(values).find((word) => values[word] === value),
+    isOptional: false,
   };
 }
 
+function asJobId(value: unknown): string | null {
+  return typeof value === "string" && isJobId(value) ? value : null;
+}
+
+function asTaskCount(value: unknown): number | null {
+  const count = asNonNegativeInteger(value);
+  return count !== null && count >= 1 && count <= MAX_TASKS ? count : null;
+}
+
+function asNames(value: unknown): string[] | null {
+  const list = asArray(value);
+  return list?.every((entry) => asNonEmptyString(entry) !== null) ? (list as string[]) : null;
+}
+
+/** In the order in which malformed fields are named to the user. */
+const SUBMISSION_FIELDS: { readonly [Field in keyof JobSpec]: SubmissionField<JobSpec[Field]> } = {
+  id: required("ref", asJobId),
+  className: required("strain", asNonEmptyString),
+  team: required("crew", asNonEmptyString),
+  kind: oneOf("form", KINDS),
+  priority: oneOf("rank", PRIORITIES),
+  tasks: required("spores", asTaskCount),
+  cpus: required("cores", asNonNegativeNumber),
+  gpus: required("gpus", asNonNegativeNumber),
+  memoryGb: required("memoryGb", asNonNegativeNumber),
+  image: required("seedstock", asNonEmptyString),
+  imageGb: required("pullGb", asNonNegativeNumber),
+  types: optional("breeds", asNames),
+  zone: optional("patch", asNonEmptyString),
+  oneZone: required("together", asBoolean),
+  spread: required("scatter", asBoolean),
+  spot: required("windfall", asBoolean),
+  estimateS: required("guessS", asNonNegativeNumber),
+  checkpointS: required("cairnS", asNonNegativeNumber),
+  saveS: required("stashS", asNonNegativeNumber),
+  deadlineS: optional("dueS", asNonNegativeNumber),
+};
+
+const SPEC_FIELDS = Object.keys(SUBMISSION_FIELDS) as (keyof JobSpec)[];
+
+/** The codec of a spec's field, for loops over all of them; each is only given values of its own field. */
+function submissionField(field: keyof JobSpec): SubmissionField<unknown> {
+  return SUBMISSION_FIELDS[field];
+}
+
+export type DecodedSubmission =
+  | { kind: "valid"; spec: JobSpec }
+  /** The reason is for the user. */
+  | { kind: "malformed"; reason: string };
+
+/** Checks the form of a submission only; whether such a job can ever run is for its receiver to say. */
+export function decodeSubmission(value: unknown): DecodedSubmission {
+  const body = asObject(value);
+  if (!body) return { kind: "malformed", reason: "the body must be a JSON object" };
+  const spec: Partial<Record<keyof JobSpec, unknown>> = {};
+  const malformed: string[] = [];
+  for (const field of SPEC_FIELDS) {
+    const { name, decode, isOptional } = submissionField(field);
+    const wireValue = body[name];
+    const isMissing = wireValue === undefined || wireValue === null;
+    const decoded = isMissing ? null : decode(wireValue);
+    if (decoded === null && !(isMissing && isOptional)) malformed.push(name);
+    spec[field] = decoded;
+  }
+  if (malformed.length > 0) {
+    return { kind: "malformed", reason: `missing or invalid: ${malformed.join(", ")}` };
+  }
+  return { kind: "valid", spec: spec as JobSpec };
+}
+
+/** A submission as its users write it. */
+export function encodeSubmission(spec: JobSpec): JsonObject {
+  const body: JsonObject = {};
+  for (const field of SPEC_FIELDS) {
+    const { name, encode } = submissionField(field);
+    body[name] = encode(spec[field]);
+  }
+  return body;
+}
+
+/** The response to a submission or a cancellation. */
 export function encodeJobPhase(id: string, phase: JobPhase): JsonObject {
   return { ref: id, phase: PHASE_WORDS[phase] };
 }
 
+/** The response to a request for a job's state, with its numbers of finished and of running tasks. */
 export function encodeJobStatus(id: string, phase: JobPhase, done: number, running: number): JsonObject {
   return { ref: id, phase: PHASE_WORDS[phase], done, running };
 }
 
+const HEARTBEAT_PATH = "/checkin";
+const READY_PATH = "/ready";
+const JOBS_PATH = "/v1/jobs";
+const JOB_PATH = /^\/v1\/jobs\/([^/]+)(\/cancel)?$/;
+
+/** What a request to a controller asks for. */
 export type ApiRoute =
   | { call: "submit" }
   | { call: "show"; id: string }
   | { call: "cancel"; id: string }
   | { call: "ready" }
-  | { call: "report" }
+  | { call: "heartbeat" }
+  /** With 405, `allow` names the path's only method. */
   | { call: "none"; status: 404 | 405; allow?: string };
 
-/** Which call a method and a path mean. */
+function routeFor(method: string, expectedMethod: "GET" | "POST", found: ApiRoute): ApiRoute {
+  return method === expectedMethod ? found : { call: "none", status: 405, allow: expectedMethod };
+}
+
+/** Which call a method and a path (without query) mean. */
 export function routeRequest(method: string, path: string): ApiRoute {
-  const wants = (verb: string, call: ApiRoute): ApiRoute =>
-    method === verb ? call : { call: "none", status: 405, allow: verb };
-  if (path === "/checkin") return wants("POST", { call: "report" });
-  if (path === "/ready") return wants("GET", { call: "ready" });
-  if (path === "/v1/jobs") return wants("POST", { call: "submit" });
-  const match = /^\/v1\/jobs\/([^/]+)(\/cancel)?$/.exec(path);
-  if (match) {
-    return match[2]
-      ? wants("POST", { call: "cancel", id: match[1]! })
-      : wants("GET", { call: "show", id: match[1]! });
-  }
-  return { call: "none", status: 404 };
+  if (path === HEARTBEAT_PATH) return routeFor(method, "POST", { call: "heartbeat" });
+  if (path === READY_PATH) return routeFor(method, "GET", { call: "ready" });
+  if (path === JOBS_PATH) return routeFor(method, "POST", { call: "submit" });
+  const match = JOB_PATH.exec(path);
+  if (!match) return { call: "none", status: 404 };
+  const id = match[1]!;
+  const isCancel = match[2] !== undefined;
+  return isCancel
+    ? routeFor(method, "POST", { call: "cancel", id })
+    : routeFor(method, "GET", { call: "show", id });
 }
--- a/src/transport/address.ts
+++ b/src/transport/address.ts
@@ -1,5 +1,5 @@
-/** Splits `10.0.0.1:8080`; null-free because settings have been checked before. */
+/** Splits an address such as `10.0.0.1:8080`. Its form is not checked here: addresses in settings have been checked. */
 export function splitAddress(address: string): { host: string; port: number } {
-  const at = address.lastIndexOf(":");
-  return { host: address.slice(0, at), port: Number(address.slice(at + 1)) };
+  const colonIndex = address.lastIndexOf(":");
+  return { host: address.slice(0, colonIndex), port: Number(address.slice(colonIndex + 1)) };
 }
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,13 +1,15 @@
-/** Steady time and timers. Every layer takes its clock from outside, so that tests can turn the hands. */
+/** Time and timers. Every layer is given its clock, so that tests can run on a simulated one. */
 export interface Clock {
-  /** Steady milliseconds; never goes back. */
+  /** Milliseconds on a monotonic clock with an arbitrary start. */
   nowMs(): number;
-  /** Time of day; only as good as the operator's clocks. */
+  /** Time of day: as good as the operator's clocks, and it may jump. */
   wallTime(): Date;
+  /** Calls `run` once after the delay; a negative delay counts as 0. Whoever sets a timer cancels it. */
   after(delayMs: number, run: () => void): Timer;
 }
 
 export interface Timer {
+  /** Does nothing once the timer has fired. */
   cancel(): void;
 }
 
--- a/src/transport/eventLoopLag.ts
+++ b/src/transport/eventLoopLag.ts
@@ -1,9 +1,12 @@
 import type { Clock, Timer } from "./clock.js";
 
-/** Each step wakes the process: a tenth of all its turns, when it was 100 ms. */
-const STEP_MS = 400;
+/** Each sample wakes the process: a tenth of all its wake-ups, when this was 100 ms. */
+const SAMPLE_INTERVAL_MS = 400;
+/** Weight of one sample in the moving average, which thus covers about five samples, or two seconds. */
+const SAMPLE_WEIGHT = 0.2;
+const MAX_SAMPLE_WEIGHT = 0.8;
 
-/** How far behind this process is: how late its timers fire, averaged over about two seconds. */
+/** How far this process is behind its work: how late its timers fire, as a moving average. */
 export class EventLoopLagMeter {
   lagMs = 0;
   private timer: Timer | null = null;
@@ -11,12 +14,9 @@
   constructor(private readonly clock: Clock) {}
 
   start(): void {
-    const set = this.clock.nowMs();
-    this.timer = this.clock.after(STEP_MS, () => {
-      const late = Math.max(0, this.clock.nowMs() - set - STEP_MS);
-      // A long pause counts for all the steps that it swallowed.
-      const share = Math.min(0.8, 0.2 * (1 + late / STEP_MS));
-      this.lagMs += (late - this.lagMs) * share;
+    const setAtMs = this.clock.nowMs();
+    this.timer = this.clock.after(SAMPLE_INTERVAL_MS, () => {
+      this.addSample(Math.max(0, this.clock.nowMs() - setAtMs - SAMPLE_INTERVAL_MS));
       this.start();
     });
   }
@@ -24,4 +24,10 @@
   stop(): void {
     this.timer?.cancel();
   }
+
+  private addSample(lateMs: number): void {
+    // A long pause counts for all the samples that it swallowed.
+    const weight = Math.min(MAX_SAMPLE_WEIGHT, SAMPLE_WEIGHT * (1 + lateMs / SAMPLE_INTERVAL_MS));
+    this.lagMs += (lateMs - this.lagMs) * weight;
+  }
 }
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -1,15 +1,20 @@
 import * as http from "node:http";
+import { splitAddress } from "./address.js";
+
+/** Connections to one address that are kept open while idle. */
+const MAX_IDLE_SOCKETS = 2;
 
 export interface ClientResponse {
   status: number;
+  /** The parsed JSON; null for an empty body. */
   body: unknown;
 }
 
-/** No answer came: the request may or may not have been carried out, now or later. */
+/** No whole response came: the request may or may not have been executed, now or later. */
 export class NoResponseError extends Error {
-  /** True when the connection was never made, so that nothing can have been sent. */
   constructor(
     reason: string,
+    /** The connection was never made, so nothing can have been sent. */
     readonly neverSent: boolean,
   ) {
     super(reason);
@@ -17,7 +22,7 @@
 }
 
 export interface HttpCaller {
-  /** Resolves with any answer whatever its status; rejects with NoAnswer. */
+  /** Resolves with any response whatever its status; rejects with a `NoResponseError`. */
   call(
     address: string,
     method: string,
@@ -31,11 +36,13 @@
 export class HttpClient implements HttpCaller {
   private readonly agent: http.Agent;
 
+  /** No more than `maxSockets` connections to one address. */
   constructor(maxSockets: number) {
     this.agent = new http.Agent({
       keepAlive: true,
       maxSockets,
-      maxFreeSockets: 2,
+      maxFreeSockets: MAX_IDLE_SOCKETS,
+      // The connection used last is the least likely to be closed by the other side.
       scheduling: "lifo",
       timeout: 0,
     });
@@ -48,63 +55,81 @@
     body: unknown,
     timeoutMs: number,
   ): Promise<ClientResponse> {
-    const at = address.lastIndexOf(":");
     // A string, not a buffer: it goes out together with the headers, in one piece.
     const payload = body === undefined ? undefined : JSON.stringify(body);
+    const headers: http.OutgoingHttpHeaders = {};
+    if (payload) {
+      headers["Content-Type"] = "application/json";
+      headers["Content-Length"] = Buffer.byteLength(payload);
+    }
+    const { host, port } = splitAddress(address);
     return new Promise((resolve, reject) => {
-      let settled = false;
-      let connected = false;
-      const fail = (reason: string): void => {
-        if (settled) return;
-        settled = true;
-        clearTimeout(timer);
-        request.destroy();
-        reject(new NoResponseError(reason, !connected));
-      };
-      const headers: http.OutgoingHttpHeaders = {};
-      if (payload) {
-        headers["Content-Type"] = "application/json";
-        headers["Content-Length"] = Buffer.byteLength(payload);
-      }
-      const request = http.request({
-        host: address.slice(0, at),
-        port: Number(address.slice(at + 1)),
-        method,
-        path,
-        headers,
-        agent: this.agent,
-      });
-      const timer = setTimeout(() => fail(`no answer from ${address} within ${timeoutMs} ms`), timeoutMs);
-      request.on("socket", (socket) => {
-        if (!socket.connecting) connected = true;
-        else socket.once("connect", () => (connected = true));
-      });
-      request.on("error", (error) => fail(`${address}: ${error.message}`));
-      request.on("response", (response) => {
-        const parts: Buffer[] = [];
-        response.on("data", (part: Buffer) => parts.push(part));
-        response.on("error", (error) => fail(`${address}: ${error.message}`));
-        response.on("aborted", () => fail(`${address}: answer cut short`));
-        response.on("end", () => {
-          if (settled) return;
-          let parsed: unknown = null;
-          const text = Buffer.concat(parts).toString("utf8");
-          try {
-            parsed = text === "" ? null : (JSON.parse(text) as unknown);
-          } catch {
-            fail(`${address}: answer is not JSON`);
-            return;
-          }
-          settled = true;
-          clearTimeout(timer);
-          resolve({ status: response.statusCode ?? 0, body: parsed });
-        });
-      });
-      request.end(payload);
+      const request = http.request({ host, port, method, path, headers, agent: this.agent });
+      new Call(address, request, resolve, reject).start(payload, timeoutMs);
     });
   }
 
+  /** Breaks off all requests and closes all connections. */
   close(): void {
     this.agent.destroy();
   }
 }
+
+/** One request on its way; owns its timer, and settles once. */
+class Call {
+  private isSettled = false;
+  private isConnected = false;
+  private timer: NodeJS.Timeout | undefined;
+
+  constructor(
+    private readonly address: string,
+    private readonly request: http.ClientRequest,
+    private readonly resolve: (response: ClientResponse) => void,
+    private readonly reject: (error: NoResponseError) => void,
+  ) {}
+
+  start(payload: string | undefined, timeoutMs: number): void {
+    const { address, request } = this;
+    this.timer = setTimeout(() => this.fail(`no answer from ${address} within ${timeoutMs} ms`), timeoutMs);
+    request.on("socket", (socket) => {
+      if (!socket.connecting) this.isConnected = true;
+      else socket.once("connect", () => (this.isConnected = true));
+    });
+    request.on("error", (error) => this.fail(`${address}: ${error.message}`));
+    request.on("response", (response) => this.receive(response));
+    request.end(payload);
+  }
+
+  private receive(response: http.IncomingMessage): void {
+    const parts: Buffer[] = [];
+    response.on("data", (part: Buffer) => parts.push(part));
+    response.on("error", (error) => this.fail(`${this.address}: ${error.message}`));
+    response.on("aborted", () => this.fail(`${this.address}: answer cut short`));
+    response.on("end", () => this.finish(response.statusCode ?? 0, Buffer.concat(parts).toString("utf8")));
+  }
+
+  private finish(status: number, text: string): void {
+    if (this.isSettled) return;
+    let body: unknown = null;
+    try {
+      if (text !== "") body = JSON.parse(text) as unknown;
+    } catch {
+      this.fail(`${this.address}: answer is not JSON`);
+      return;
+    }
+    this.settle();
+    this.resolve({ status, body });
+  }
+
+  private fail(reason: string): void {
+    if (this.isSettled) return;
+    this.settle();
+    this.request.destroy();
+    this.reject(new NoResponseError(reason, !this.isConnected));
+  }
+
+  private settle(): void {
+    this.isSettled = true;
+    clearTimeout(this.timer);
+  }
+}
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -61,7 +61,7 @@
     ["types that are not names", { ...good, breeds: [1] }, false],
     ["a negative deadline", { ...good, dueS: -5 }, false],
   ];
-  for (const [name, value, want] of cases) assert.equal("spec" in decodeSubmission(value), want, name);
+  for (const [name, value, want] of cases) assert.equal(decodeSubmission(value).kind === "valid", want, name);
   const { spec } = decodeSubmission(good) as { spec: Parameters<typeof encodeSubmission>[0] };
   assert.deepEqual(encodeSubmission(spec), good);
 });
@@ -107,7 +107,7 @@
     ["POST", "/v1/jobs/job-1/cancel", "cancel"],
     ["POST", "/v1/jobs/job-1/stop", 404],
     ["GET", "/ready", "ready"],
-    ["POST", "/checkin", "report"],
+    ["POST", "/checkin", "heartbeat"],
     ["GET", "/", 404],
   ] as const) {
     const got = routeRequest(method, path);
