--- a/src/transport/peerLinks.ts
+++ b/src/transport/peerLinks.ts
@@ -1,35 +1,25 @@
+/**
+ * Links between controllers. Each controller dials each of its peers and only sends on the links that it dialled; it only
+ * receives on those that come in.
+ */
 import * as net from "node:net";
-import type { Clock, Timer } from "./clock.js";
 import { splitAddress } from "./address.js";
+import type { Clock, Timer } from "./clock.js";
+import { encodeFrame, FrameDecoder, MAX_PAYLOAD_BYTES } from "./frames.js";
 
-/** Frames are a 4-byte big-endian length, then that many bytes. */
-const HEADER = 4;
-const MAX_FRAME = 256 * 1024;
-
-/** Splits a byte stream into frames. */
-export class FrameDecoder {
-  private held: Buffer = Buffer.alloc(0);
-
-  /** Returns the whole frames so far, or null when the stream makes no sense. */
-  push(part: Buffer): Buffer[] | null {
-    this.held = this.held.length === 0 ? part : Buffer.concat([this.held, part]);
-    const frames: Buffer[] = [];
-    while (this.held.length >= HEADER) {
-      const length = this.held.readUInt32BE(0);
-      if (length > MAX_FRAME) return null;
-      if (this.held.length < HEADER + length) break;
-      frames.push(this.held.subarray(HEADER, HEADER + length));
-      this.held = this.held.subarray(HEADER + length);
-    }
-    return frames;
-  }
-}
+/** A connection attempt into a network partition hangs without an error: it is given up and made anew. */
+const CONNECT_TIMEOUT_MS = 2500;
+/** From the loss of an established link to the next attempt. */
+const REDIAL_MS = 30;
+/** From a failed attempt to the next one. */
+const RETRY_MS = 400;
+/** A link with more bytes unsent than this belongs to a peer that doesn't read. */
+const MAX_UNSENT_BYTES = 4 * MAX_PAYLOAD_BYTES;
 
-export function encodeFrame(payload: Buffer): Buffer {
-  const out = Buffer.allocUnsafe(HEADER + payload.length);
-  out.writeUInt32BE(payload.length, 0);
-  payload.copy(out, HEADER);
-  return out;
+export interface Peer {
+  name: string;
+  /** Host and port at which it accepts links. */
+  address: string;
 }
 
 export interface PeerPort {
@@ -37,31 +27,96 @@
   send(peer: string, payload: Buffer): boolean;
 }
 
+/** Takes the frames of one incoming link, in order; returns null, or the reason to close the link. */
+export type LinkReceiver = (payload: Buffer) => string | null;
+
 export interface PeerLinkOptions {
+  /** Host and port. */
   listen: string;
-  peers: { name: string; address: string }[];
+  peers: Peer[];
   clock: Clock;
-  /** The first frame on each of our links. */
+  /** The first frame on each link that is dialled. */
   greeting: Buffer;
-  /** Called for each link that comes in; what it returns takes the frames, and gives a reason to close the link. */
-  onLink: () => (payload: Buffer) => string | null;
-  /** A link that stood has closed, and the peer's host refuses a new one; so many other links stand. */
-  onRefused: (peer: string, standing: number) => void;
+  /** Called for each incoming link. */
+  onLink: () => LinkReceiver;
+  /** An established link has closed, and the peer's host refuses a new one; so many other links are established. */
+  onRefused: (peer: string, establishedLinks: number) => void;
+  /** An incoming link was closed for this reason. */
   onBadLink: (reason: string) => void;
+  /** Takes what a receiver throws, and errors of the listening socket. */
   onError: (error: Error) => void;
 }
 
-/** One outgoing connection to each peer; whatever comes in is handed on. */
+/** The outgoing link to one peer: owns its socket, and dials again whenever it is lost. */
+class OutgoingLink {
+  isEstablished = false;
+  private socket: net.Socket | null = null;
+  private redialTimer: Timer | null = null;
+  private isClosed = false;
+
+  constructor(
+    private readonly address: string,
+    private readonly clock: Clock,
+    private readonly greeting: Buffer,
+    private readonly onRefused: () => void,
+  ) {}
+
+  /** `isRedial`: the link was established until just now. */
+  dial(isRedial: boolean): void {
+    const socket = net.connect(splitAddress(this.address));
+    this.socket = socket;
+    socket.setNoDelay(true);
+    socket.setTimeout(CONNECT_TIMEOUT_MS, () => {
+      if (socket.connecting) socket.destroy();
+    });
+    socket.on("connect", () => {
+      socket.setTimeout(0);
+      socket.write(encodeFrame(this.greeting));
+      this.isEstablished = true;
+    });
+    // Peers don't send on links that they accepted; unread bytes would keep the end of the link from being seen.
+    socket.on("data", () => undefined);
+    socket.on("error", (error: NodeJS.ErrnoException) => {
+      if (isRedial && error.code === "ECONNREFUSED") this.onRefused();
+    });
+    socket.on("close", () => this.redial());
+  }
+
+  send(payload: Buffer): boolean {
+    if (!this.socket || !this.isEstablished) return false;
+    // Dropped, not queued: a vote or a grant that comes late is worth nothing.
+    if (payload.length > MAX_PAYLOAD_BYTES || this.socket.writableLength > MAX_UNSENT_BYTES) return false;
+    this.socket.write(encodeFrame(payload));
+    return true;
+  }
+
+  close(): void {
+    this.isClosed = true;
+    this.isEstablished = false;
+    this.redialTimer?.cancel();
+    this.socket?.destroy();
+  }
+
+  private redial(): void {
+    if (this.isClosed) return;
+    const wasEstablished = this.isEstablished;
+    this.isEstablished = false;
+    this.redialTimer = this.clock.after(wasEstablished ? REDIAL_MS : RETRY_MS, () =>
+      this.dial(wasEstablished),
+    );
+  }
+}
+
+/** Owns the listening socket and the outgoing links; an incoming link closes with its peer's process. */
 export class PeerLinks implements PeerPort {
-  private readonly out = new Map<string, net.Socket>();
-  private readonly retries = new Set<Timer>();
+  private readonly outgoing = new Map<string, OutgoingLink>();
   private server: net.Server | null = null;
-  private closed = false;
 
   constructor(private readonly options: PeerLinkOptions) {}
 
+  /** Dials all peers and resolves once incoming links are accepted; rejects when the address can't be listened on. */
   start(): Promise<void> {
-    const server = net.createServer((socket) => this.read(socket));
+    const server = net.createServer((socket) => this.accept(socket));
     this.server = server;
     for (const peer of this.options.peers) this.dial(peer);
     return new Promise((resolve, reject) => {
@@ -75,77 +130,57 @@
   }
 
   send(peer: string, payload: Buffer): boolean {
-    const socket = this.out.get(peer);
-    // A link that doesn't drain belongs to a silent peer: a late confirmation is worth nothing, so drop.
-    if (!socket || payload.length > MAX_FRAME || socket.writableLength > 4 * MAX_FRAME) return false;
-    socket.write(encodeFrame(payload));
-    return true;
+    return this.outgoing.get(peer)?.send(payload) ?? false;
   }
 
   close(): void {
-    this.closed = true;
-    for (const timer of this.retries) timer.cancel();
-    for (const socket of this.out.values()) socket.destroy();
+    for (const link of this.outgoing.values()) link.close();
     this.server?.close();
   }
 
-  private dial(peer: { name: string; address: string }, afterLoss = false): void {
-    if (this.closed) return;
-    let stood = false;
-    const socket = net.connect(splitAddress(peer.address));
-    socket.setNoDelay(true);
-    // A connection attempt through a cut hangs without an error: give it up and try anew.
-    socket.setTimeout(2500, () => {
-      if (socket.connecting) socket.destroy();
-    });
-    socket.on("connect", () => {
-      socket.setTimeout(0);
-      stood = true;
-      socket.write(encodeFrame(this.options.greeting));
-      this.out.set(peer.name, socket);
-    });
-    socket.on("data", () => undefined);
-    socket.on("error", (error: NodeJS.ErrnoException) => {
-      if (afterLoss && error.code === "ECONNREFUSED") this.options.onRefused(peer.name, this.out.size);
-    });
-    socket.on("close", () => {
-      if (this.out.get(peer.name) === socket) this.out.delete(peer.name);
-      const timer = this.options.clock.after(stood ? 30 : 400, () => {
-        this.retries.delete(timer);
-        this.dial(peer, stood);
-      });
-      this.retries.add(timer);
-    });
+  private dial({ name, address }: Peer): void {
+    const { clock, greeting, onRefused } = this.options;
+    const link = new OutgoingLink(address, clock, greeting, () => onRefused(name, this.establishedLinks()));
+    this.outgoing.set(name, link);
+    link.dial(false);
   }
 
-  private read(socket: net.Socket): void {
-    const reader = new FrameDecoder();
-    const take = this.options.onLink();
-    const refuse = (reason: string): void => {
-      this.options.onBadLink(`link from ${socket.remoteAddress ?? "somewhere"} closed: ${reason}`);
-      socket.destroy();
-    };
+  private establishedLinks(): number {
+    let count = 0;
+    for (const link of this.outgoing.values()) if (link.isEstablished) count++;
+    return count;
+  }
+
+  private accept(socket: net.Socket): void {
+    const decoder = new FrameDecoder();
+    const receiver = this.options.onLink();
     socket.setNoDelay(true);
     socket.on("error", () => undefined);
     socket.on("data", (part: Buffer) => {
-      const frames = reader.push(part);
-      if (!frames) {
-        refuse("a frame longer than any of ours");
-        return;
-      }
-      for (const payload of frames) {
-        let reason: string | null;
-        try {
-          reason = take(payload);
-        } catch (error) {
-          this.options.onError(error as Error);
-          reason = "a frame that could not be dealt with";
-        }
-        if (reason !== null) {
-          refuse(reason);
-          return;
-        }
-      }
+      const reason = this.receive(part, decoder, receiver);
+      if (reason === null) return;
+      this.options.onBadLink(`link from ${socket.remoteAddress ?? "somewhere"} closed: ${reason}`);
+      socket.destroy();
     });
   }
+
+  /** Null, or the reason to close the link; frames behind the one at fault are dropped. */
+  private receive(part: Buffer, decoder: FrameDecoder, receiver: LinkReceiver): string | null {
+    const payloads = decoder.push(part);
+    if (!payloads) return "a frame longer than any of ours";
+    for (const payload of payloads) {
+      const reason = this.receivePayload(payload, receiver);
+      if (reason !== null) return reason;
+    }
+    return null;
+  }
+
+  private receivePayload(payload: Buffer, receiver: LinkReceiver): string | null {
+    try {
+      return receiver(payload);
+    } catch (error) {
+      this.options.onError(error as Error);
+      return "a frame that could not be dealt with";
+    }
+  }
 }
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -6,7 +6,7 @@
 import { decodeSubmission, encodeSubmission, routeRequest } from "../src/protocol/users.js";
 import { decodeHeartbeat, encodeDirectCommands } from "../src/protocol/workers.js";
 import { peerMessages } from "./fakes/peerMessages.js";
-import { FrameDecoder, encodeFrame } from "../src/transport/peerLinks.js";
+import { FrameDecoder, encodeFrame } from "../src/transport/frames.js";
 import {
   TASKS_PER_CHUNK,
   decodeChunk,
