--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -1,21 +1,23 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { rejectionReason } from "../src/coordination/admission/admission.js";
-import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers/codec.js";
-import type { PeerMessage } from "../src/protocol/peers/messages.js";
-import { decodeSubmission, encodeSubmission, routeRequest } from "../src/protocol/users.js";
-import { decodeHeartbeat, encodeDirectCommands } from "../src/protocol/workers.js";
-import { peerMessages } from "./fakes/peerMessages.js";
-import { FrameDecoder, encodeFrame } from "../src/transport/frames.js";
 import {
-  TASKS_PER_CHUNK,
   decodeChunk,
   decodeHead,
   encodeChunk,
   encodeHead,
+  TASKS_PER_CHUNK,
 } from "../src/bookkeeping/records.js";
+import { rejectionReason } from "../src/coordination/admission/admission.js";
+import type { JobSpec } from "../src/protocol/model.js";
+import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers/codec.js";
+import type { PeerMessage } from "../src/protocol/peers/messages.js";
+import { decodeSubmission, encodeSubmission, routeRequest } from "../src/protocol/users.js";
+import { decodeHeartbeat, encodeDirectCommands } from "../src/protocol/workers.js";
+import { encodeFrame, FrameDecoder } from "../src/transport/frames.js";
+import { peerMessages } from "./fakes/peerMessages.js";
 
-const good = {
+/** As users write it. */
+const submission = {
   ref: "job-000412",
   strain: "train",
   crew: "vision",
@@ -38,36 +40,55 @@
   dueS: 900.0,
 };
 
-test("submissions: what is malformed", () => {
-  const cases: [string, unknown, boolean][] = [
-    ["as published", good, true],
-    ["unknown fields are ignored", { ...good, colour: "red" }, true],
-    ["null and missing are the same", { ...good, breeds: undefined, dueS: undefined }, true],
-    ["not an object", [good], false],
-    ["null", null, false],
-    ["text", "job", false],
-    ["no id", { ...good, ref: undefined }, false],
-    ["an id of another form", { ...good, ref: "job-12a" }, false],
-    ["a path as id", { ...good, ref: "job-1/../2" }, false],
-    ["no tasks", { ...good, spores: 0 }, false],
-    ["half a task", { ...good, spores: 1.5 }, false],
-    ["as many as may be", { ...good, spores: 100_000 }, true],
-    ["more tasks than may be", { ...good, spores: 100_001 }, false],
-    ["a number as text", { ...good, cores: "8" }, false],
-    ["a negative amount", { ...good, memoryGb: -1 }, false],
-    ["an unknown form", { ...good, form: "toString" }, false],
-    ["an unknown rank", { ...good, rank: "urgent" }, false],
-    ["a flag as number", { ...good, together: 1 }, false],
-    ["types that are not names", { ...good, breeds: [1] }, false],
-    ["a negative deadline", { ...good, dueS: -5 }, false],
+function specOf(value: unknown): JobSpec {
+  const decoded = decodeSubmission(value);
+  assert.equal(decoded.kind, "valid");
+  return (decoded as { spec: JobSpec }).spec;
+}
+
+test("a submission in the published form is valid, and is written as it was read", () => {
+  const cases: { name: string; value: unknown }[] = [
+    { name: "as published", value: submission },
+    { name: "unknown fields are ignored", value: { ...submission, colour: "red" } },
+    { name: "null and missing are the same", value: { ...submission, breeds: undefined, dueS: undefined } },
+    { name: "as many tasks as may be", value: { ...submission, spores: 100_000 } },
   ];
-  for (const [name, value, want] of cases) assert.equal(decodeSubmission(value).kind === "valid", want, name);
-  const { spec } = decodeSubmission(good) as { spec: Parameters<typeof encodeSubmission>[0] };
-  assert.deepEqual(encodeSubmission(spec), good);
+  for (const { name, value } of cases) assert.equal(decodeSubmission(value).kind, "valid", name);
+  assert.deepEqual(encodeSubmission(specOf(submission)), submission);
 });
 
-test("submissions: what can never run", () => {
-  const { spec } = decodeSubmission(good) as { spec: Parameters<typeof encodeSubmission>[0] };
+test("a submission that is no object is malformed", () => {
+  for (const value of [[submission], null, "job"]) {
+    assert.equal(decodeSubmission(value).kind, "malformed", JSON.stringify(value));
+  }
+});
+
+test("a submission with a missing or malformed field is malformed, and the reason names the field", () => {
+  const cases: { name: string; change: Record<string, unknown> }[] = [
+    { name: "no id", change: { ref: undefined } },
+    { name: "an id of another form", change: { ref: "job-12a" } },
+    { name: "a path as id", change: { ref: "job-1/../2" } },
+    { name: "no tasks", change: { spores: 0 } },
+    { name: "half a task", change: { spores: 1.5 } },
+    { name: "more tasks than may be", change: { spores: 100_001 } },
+    { name: "a number as text", change: { cores: "8" } },
+    { name: "a negative amount", change: { memoryGb: -1 } },
+    { name: "an unknown form", change: { form: "toString" } },
+    { name: "an unknown rank", change: { rank: "urgent" } },
+    { name: "a flag as number", change: { together: 1 } },
+    { name: "types that are not names", change: { breeds: [1] } },
+    { name: "a negative deadline", change: { dueS: -5 } },
+    { name: "several at once", change: { dueS: -5, crew: "" } },
+  ];
+  const fieldOrder = Object.keys(submission);
+  for (const { name, change } of cases) {
+    const fields = fieldOrder.filter((field) => field in change).join(", ");
+    const expected = { kind: "malformed", reason: `missing or invalid: ${fields}` };
+    assert.deepEqual(decodeSubmission({ ...submission, ...change }), expected, name);
+  }
+});
+
+test("a job that can never run is rejected", () => {
   const types = [
     {
       name: "g8",
@@ -94,12 +115,12 @@
     ["a service counts all tasks", { tasks: 17, kind: "service" }, true],
   ];
   for (const [name, change, want] of cases) {
-    assert.equal(rejectionReason({ ...spec, ...change }, types, teams) !== null, want, name);
+    assert.equal(rejectionReason({ ...specOf(submission), ...change }, types, teams) !== null, want, name);
   }
 });
 
-test("routes", () => {
-  for (const [method, path, want] of [
+test("a method and a path lead to one call, or to 404 or 405", () => {
+  const cases = [
     ["POST", "/v1/jobs", "submit"],
     ["GET", "/v1/jobs", 405],
     ["GET", "/v1/jobs/job-1", "show"],
@@ -109,65 +130,66 @@
     ["GET", "/ready", "ready"],
     ["POST", "/checkin", "heartbeat"],
     ["GET", "/", 404],
-  ] as const) {
-    const got = routeRequest(method, path);
-    assert.equal(got.call === "none" ? got.status : got.call, want, `${method} ${path}`);
+  ] as const;
+  for (const [method, path, expected] of cases) {
+    const route = routeRequest(method, path);
+    assert.equal(route.call === "none" ? route.status : route.call, expected, `${method} ${path}`);
   }
 });
 
-test("reports: one task that can't be read spoils the whole, so that none looks gone", () => {
-  const report = {
+test("one task that can't be read makes the whole heartbeat unreadable, so that none looks gone", () => {
+  const heartbeat = {
     tuft: "host-1",
     bloom: 1,
     tick: 2,
     crook: 3,
     spores: [{ spore: "job-1/3", sprout: 2, phase: "gathering" }],
   };
-  assert.equal(decodeHeartbeat(report)?.tasks[0]?.phase, "waiting");
-  for (const spores of [
+  assert.equal(decodeHeartbeat(heartbeat)?.tasks[0]?.phase, "waiting");
+  const unreadable = [
     [{ spore: "job-1", sprout: 2, phase: "running" }],
     [{ spore: "job-1/1", sprout: 2, phase: "asleep" }],
     [7],
     "x",
-  ]) {
-    assert.equal(decodeHeartbeat({ ...report, spores }), null, JSON.stringify(spores));
+  ];
+  for (const spores of unreadable) {
+    assert.equal(decodeHeartbeat({ ...heartbeat, spores }), null, JSON.stringify(spores));
   }
-  assert.deepEqual(
-    encodeDirectCommands(5, 1, [{ op: "stop", jobId: "job-1", task: 3, attempt: 2, graceS: 10 }]),
-    {
-      crook: 5,
-      bloom: 1,
-      bids: [{ verb: "stop", spore: "job-1/3", sprout: 2, wiltS: 10 }],
-    },
-  );
 });
 
-test("peers: every message survives the wire, cut anywhere; rubbish doesn't pass", () => {
+test("commands go to a worker in its own words", () => {
+  const stop = { op: "stop", jobId: "job-1", task: 3, attempt: 2, graceS: 10 } as const;
+  assert.deepEqual(encodeDirectCommands(5, 1, [stop]), {
+    crook: 5,
+    bloom: 1,
+    bids: [{ verb: "stop", spore: "job-1/3", sprout: 2, wiltS: 10 }],
+  });
+});
+
+test("a peer message survives a stream cut anywhere, and nothing but whole messages is decoded", () => {
   const messages = Object.values(peerMessages);
-  const stream = Buffer.concat(messages.map((m) => encodeFrame(encodePeerMessage(m))));
+  const stream = Buffer.concat(messages.map((message) => encodeFrame(encodePeerMessage(message))));
   for (const step of [1, 3, 7, stream.length]) {
-    const reader = new FrameDecoder();
-    const got: (PeerMessage | null)[] = [];
-    for (let at = 0; at < stream.length; at += step) {
-      for (const f of reader.push(stream.subarray(at, at + step)) ?? []) got.push(decodePeerMessage(f));
+    const decoder = new FrameDecoder();
+    const decoded: (PeerMessage | null)[] = [];
+    for (let start = 0; start < stream.length; start += step) {
+      const payloads = decoder.push(stream.subarray(start, start + step)) ?? [];
+      for (const payload of payloads) decoded.push(decodePeerMessage(payload));
     }
-    assert.deepEqual(got, messages, `in pieces of ${step}`);
+    assert.deepEqual(decoded, messages, `in pieces of ${step}`);
   }
   assert.equal(new FrameDecoder().push(Buffer.from("GET / HTTP/1.1\r\n")), null);
   for (const message of messages) {
     const whole = encodePeerMessage(message);
-    for (let cut = 0; cut < whole.length; cut++)
-      assert.equal(decodePeerMessage(whole.subarray(0, cut)), null, message.kind);
-    assert.equal(
-      decodePeerMessage(Buffer.concat([whole, Buffer.from([0])])),
-      null,
-      `${message.kind} with more behind it`,
-    );
+    for (let length = 0; length < whole.length; length++)
+      assert.equal(decodePeerMessage(whole.subarray(0, length)), null, message.kind);
+    const tooLong = Buffer.concat([whole, Buffer.from([0])]);
+    assert.equal(decodePeerMessage(tooLong), null, `${message.kind} with more behind it`);
   }
   for (const bad of [Buffer.alloc(0), Buffer.from([99, 0, 0])]) assert.equal(decodePeerMessage(bad), null);
 });
 
-test("records: a full chunk fits the smallest value limit and comes back as it was", () => {
+test("a full chunk of tasks fits the smallest value limit, and records come back as they were stored", () => {
   const done = new Uint8Array(TASKS_PER_CHUNK / 8);
   done[3] = 129;
   const attempts = Array.from({ length: TASKS_PER_CHUNK }, (_, i) => ({
@@ -179,8 +201,11 @@
   const value = encodeChunk({ done, attempts });
   assert.ok(JSON.stringify(value).length < 8 * 1024);
   assert.deepEqual(decodeChunk(JSON.parse(JSON.stringify(value))), { done, attempts });
-  const { spec } = decodeSubmission(good) as { spec: Parameters<typeof encodeSubmission>[0] };
-  const head = { spec, acceptedAt: new Date(1_700_000_000_000), cancelledAt: new Date(1_700_000_000_500) };
+  const head = {
+    spec: specOf(submission),
+    acceptedAt: new Date(1_700_000_000_000),
+    cancelledAt: new Date(1_700_000_000_500),
+  };
   assert.deepEqual(decodeHead(JSON.parse(JSON.stringify(encodeHead(head)))), head);
   const live = { ...head, cancelledAt: null };
   assert.deepEqual(decodeHead(JSON.parse(JSON.stringify(encodeHead(live)))), live);
