--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -64,6 +64,7 @@
     private readonly address: string,
     /** The cloud's limit of calls per second. */
     callsPerSecond: number,
+    /** Called in this actor's turn: it only puts a message into the leader's mailbox. */
     private readonly onEvent: (event: CloudEvent) => void,
   ) {
     super("cloud");
--- a/src/coordination/provisioning/cloudEvents.ts
+++ b/src/coordination/provisioning/cloudEvents.ts
@@ -20,4 +20,5 @@
   /** These machines and all that ran on them are gone. */
   | { kind: "deleted"; names: string[] };
 
+/** Anything that the cloud said. */
 export type CloudEvent = MachineTypesEvent | MachineEvent;
--- a/src/coordination/scheduling/capacities.ts
+++ b/src/coordination/scheduling/capacities.ts
@@ -4,7 +4,7 @@
 import type { Estimates } from "./estimates.js";
 
 /** Cpus, or accelerators, that jobs of a priority can count on. */
-export type CapacityOf = (priority: number, gpus: boolean) => number;
+export type CapacityOf = (priority: number, ofGpus: boolean) => number;
 
 /**
  * Capacity by priority: all that the fleet has, less what jobs of higher priority use. Cpus of machines that are kept for
@@ -17,9 +17,9 @@
 ): CapacityOf {
   const total = fleetCapacity(machines, estimates);
   const used = useByPriority(jobs);
-  return (priority, gpus) => {
-    let capacity = gpus ? total.gpus : total.cpus;
-    for (const [other, use] of used) if (other > priority) capacity -= gpus ? use.gpus : use.cpus;
+  return (priority, ofGpus) => {
+    let capacity = ofGpus ? total.gpus : total.cpus;
+    for (const [other, use] of used) if (other > priority) capacity -= ofGpus ? use.gpus : use.cpus;
     return capacity;
   };
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -108,9 +108,9 @@
   private inOrderOfService(entries: QueueEntry[]): QueueEntry[] {
     const { jobs, machines, usage, estimates } = this.context;
     const capacityOf = capacityByPriority(machines.values(), jobs.values(), estimates);
-    return serveOrder(entries, capacityOf, (teamName, gpus) => {
+    return serveOrder(entries, capacityOf, (teamName, ofGpus) => {
       const team = usage.teams.get(teamName);
-      return (gpus ? team?.maxGpus : team?.maxCpus) ?? 0;
+      return (ofGpus ? team?.maxGpus : team?.maxCpus) ?? 0;
     });
   }
 
--- /dev/null
+++ b/test/cycleCost.test.ts
@@ -0,0 +1,147 @@
+/** What a scheduling cycle costs: the machines that it examines, and the room that it lends instead of searching. */
+import assert from "node:assert/strict";
+import test from "node:test";
+import { place } from "../src/coordination/scheduling/placement.js";
+import type { PlacementInput, Reservation } from "../src/coordination/scheduling/placementPlan.js";
+import { emptyMachineView, type JobView, type MachineView } from "../src/coordination/scheduling/views.js";
+import type { JobSpec, MachineType } from "../src/protocol/model.js";
+
+const MACHINE_TYPE: MachineType = {
+  name: "m",
+  cpus: 16,
+  gpus: 0,
+  memoryGb: 64,
+  cacheGb: 50,
+  fetchGbPerS: 1,
+  price: 1,
+  spotPrice: 0.3,
+  bootS: 30,
+  zones: ["a", "b"],
+};
+
+function waitingJob(index: number, changes: Partial<JobSpec> = {}): JobView {
+  const spec: JobSpec = {
+    id: `job-${index}`,
+    className: "c",
+    team: "t",
+    kind: "array",
+    priority: 1,
+    tasks: 40,
+    cpus: 2,
+    gpus: 0,
+    memoryGb: 4,
+    image: `img-${index % 12}`,
+    imageGb: 1,
+    types: null,
+    zone: null,
+    oneZone: false,
+    spread: false,
+    spot: true,
+    estimateS: 20,
+    checkpointS: 0,
+    saveS: 0,
+    deadlineS: null,
+    ...changes,
+  };
+  return {
+    spec,
+    pending: spec.tasks,
+    taskLimit: Infinity,
+    fairShareTasks: Infinity,
+    isGuaranteed: false,
+    zones: new Map(),
+    avoid: new Set(),
+    waitTargetLeftS: null,
+    preferredMachine: null,
+    taskS: 20,
+    isStarving: false,
+  };
+}
+
+function waitingJobs(count: number): JobView[] {
+  return Array.from({ length: count }, (_, index) => waitingJob(index));
+}
+
+function cycleInput(
+  jobs: JobView[],
+  machines: MachineView[],
+  reservations: Reservation[] = [],
+): PlacementInput {
+  return {
+    jobs,
+    machines,
+    incoming: [],
+    reservations,
+    quota: {
+      room: () => Infinity,
+      roomWhenStopped: () => Infinity,
+      attainable: () => Infinity,
+      take: () => undefined,
+    },
+    maxEvictions: 40,
+    maxPreemptors: 8,
+    canPreemptFor: () => false,
+    isRefused: () => false,
+    isGuaranteed: () => true,
+    interruptionsPerHour: 1,
+    nowMs: 0,
+  };
+}
+
+/** Machines in zones b and a by turns; those that `isFull` says have nothing free. */
+function machines(count: number, isFull: (index: number) => boolean): MachineView[] {
+  return Array.from({ length: count }, (_, index) => {
+    const view = emptyMachineView(MACHINE_TYPE, index % 2 ? "a" : "b", false, null);
+    view.name = `host-${index}`;
+    if (isFull(index)) view.free = { cpus: 0, gpus: 0, memoryGb: 0 };
+    return view;
+  });
+}
+
+test("a cycle over hundreds of full machines examines those with room, not jobs times machines", () => {
+  const isFull = (index: number): boolean => index % 100 !== 0;
+  const plan = place(cycleInput(waitingJobs(120), machines(600, isFull)));
+  const placedTasks = plan.placements.reduce((sum, placement) => sum + placement.tasks, 0);
+  assert.equal(placedTasks, 6 * 8, "what room there is, is used");
+  // Once for the list of those with room, then a handful for each job until nothing is left.
+  assert.ok(plan.machinesExamined < 600 + 120 * 6 + 1, `${plan.machinesExamined} machines examined`);
+});
+
+test("a cycle over hundreds of idle machines examines each a few times", () => {
+  const idle = machines(600, () => false);
+  const plan = place(cycleInput([waitingJob(1), waitingJob(2)], idle));
+  assert.ok(plan.machinesExamined <= 3 * 600, `${plan.machinesExamined} machines examined`);
+});
+
+test("victims are sought once for a shape that no stop helps, not once for each job", () => {
+  const jobs = waitingJobs(200).map((job): JobView => ({ ...job, isGuaranteed: true }));
+  const full = machines(1000, () => true);
+  const plan = place({ ...cycleInput(jobs, full), canPreemptFor: () => true });
+  assert.deepEqual([plan.placements.length, plan.evictions.length], [0, 0]);
+  assert.ok(
+    plan.machinesExamined <= 2 * 1000,
+    `${plan.machinesExamined} of 1,000 machines examined for ${jobs.length} jobs`,
+  );
+});
+
+test("room reserved for a gang is lent to what ends before the gang starts, and to nothing else", () => {
+  const gang = waitingJob(9, { kind: "gang", tasks: 3, cpus: 16, memoryGb: 10, oneZone: true });
+  gang.isStarving = true;
+  const fourOfSix = (): MachineView[] => machines(6, (index) => index > 3);
+  const { placements, reservations } = place(cycleInput([gang], fourOfSix()));
+  assert.equal(placements.length, 0, "two in each zone do not hold a gang of three");
+  assert.equal(reservations.length, 2);
+  const reservedZone = reservations[0]!.machine === "host-0" ? "b" : "a";
+  const nextReservations = reservations.map((reservation) => ({ ...reservation, etaS: 60 }));
+  const cases: { name: string; taskS: number; isLent: boolean }[] = [
+    { name: "short", taskS: 5, isLent: true },
+    { name: "long", taskS: 500, isLent: false },
+  ];
+  for (const { name, taskS, isLent } of cases) {
+    const other = waitingJob(1, { tasks: 1, cpus: 16, memoryGb: 10, zone: reservedZone });
+    other.taskS = taskS;
+    const plan = place(cycleInput([other, gang], fourOfSix(), nextReservations));
+    const isPlaced = plan.placements.some((placement) => placement.jobId === other.spec.id);
+    assert.equal(isPlaced, isLent, name);
+  }
+});
--- /dev/null
+++ b/test/provisioning.test.ts
@@ -0,0 +1,96 @@
+import assert from "node:assert/strict";
+import test from "node:test";
+import { CapacityRefusals } from "../src/coordination/provisioning/capacityRefusals.js";
+import { CloudCallQueue } from "../src/coordination/provisioning/cloudCallQueue.js";
+import type { CloudCall } from "../src/coordination/provisioning/cloudCalls.js";
+import type { MachineKind, ScaleOutOrder } from "../src/coordination/provisioning/machineOrders.js";
+import { OpenOrders } from "../src/coordination/provisioning/openOrders.js";
+
+const SPOT: MachineKind = { type: "small", zone: "a", spot: true };
+const ON_DEMAND: MachineKind = { type: "small", zone: "a", spot: false };
+
+function order(request: string): ScaleOutOrder {
+  return { ...ON_DEMAND, count: 1, request };
+}
+
+test("a refused kind of machine is ordered again after 8 s, then after twice as long, up to 40 s", () => {
+  const refusals = new CapacityRefusals();
+  let nowMs = 1000;
+  for (const backoffMs of [8000, 16_000, 32_000, 40_000, 40_000]) {
+    refusals.recordRefusal(SPOT, nowMs);
+    const isRefusedAt = (atMs: number): boolean => refusals.at(atMs)("small", "a", true);
+    assert.equal(isRefusedAt(nowMs + backoffMs - 1), true, `${backoffMs} ms are not over`);
+    nowMs += backoffMs;
+    assert.equal(isRefusedAt(nowMs), false, `${backoffMs} ms are over`);
+  }
+});
+
+test("a refusal counts for its kind of machine alone, until one of that kind is created or deleted", () => {
+  const refusals = new CapacityRefusals();
+  refusals.recordRefusal(SPOT, 0);
+  assert.equal(refusals.at(1)("small", "a", false), false, "on-demand machines are another kind");
+  assert.equal(refusals.at(1)("small", "b", true), false, "so are those of another zone");
+  refusals.clear("small", "a", true);
+  assert.equal(refusals.at(1)("small", "a", true), false);
+  refusals.recordRefusal(SPOT, 0);
+  assert.equal(refusals.at(8000)("small", "a", true), false, "the backoff begins anew");
+});
+
+test("one order holds 50 machines, four are open at most, and no request name is used twice", () => {
+  const orders = new OpenOrders(() => 7);
+  const opened = [1, 2, 3, 4].map((count) => orders.open({ ...SPOT, count: count * 20 }));
+  assert.deepEqual(
+    opened.map(({ request, count }) => [request, count]),
+    [
+      ["t7-1", 20],
+      ["t7-2", 40],
+      ["t7-3", 50],
+      ["t7-4", 50],
+    ],
+  );
+  assert.deepEqual(
+    [orders.isFull, orders.includesKindOf(SPOT), orders.includesKindOf(ON_DEMAND)],
+    [true, true, false],
+  );
+  assert.deepEqual([orders.close(opened[0]!), orders.close(opened[0]!)], [true, false]);
+  assert.deepEqual([orders.isFull, orders.open({ ...SPOT, count: 1 }).request], [false, "t7-5"]);
+});
+
+test("calls to the cloud are sent in the order of their worth, and what failed is put back", () => {
+  const calls = new CloudCallQueue();
+  const takeAll = (): CloudCall[] => {
+    const taken: CloudCall[] = [];
+    for (let call = calls.take(); call; call = calls.take()) taken.push(call);
+    return taken;
+  };
+  calls.addList();
+  calls.addOrder(order("t1-1"));
+  calls.addOrder(order("t1-2"));
+  calls.addDeletions(["host-1", "host-2"]);
+  calls.addDeletions(["host-1"]);
+  calls.addTypes();
+  const taken = takeAll();
+  const inOrder: CloudCall[] = [
+    { kind: "types" },
+    { kind: "delete", names: ["host-1", "host-2"] },
+    { kind: "create", order: order("t1-1") },
+    { kind: "create", order: order("t1-2") },
+    { kind: "list", after: "", found: [] },
+  ];
+  assert.deepEqual(taken, inOrder);
+  assert.equal(calls.isEmpty, true);
+  // The second order failed first: each goes before those that wait. A list that failed is given up.
+  for (const call of [...taken].reverse()) calls.putBack(call);
+  assert.deepEqual(takeAll(), inOrder.slice(0, 4));
+});
+
+test("a call deletes a hundred machines at most, and a list goes on before the next one begins", () => {
+  const calls = new CloudCallQueue();
+  calls.addDeletions(Array.from({ length: 130 }, (_, index) => `host-${index}`));
+  const sizes = [calls.take(), calls.take()].map((call) => (call?.kind === "delete" ? call.names.length : 0));
+  assert.deepEqual(sizes, [100, 30]);
+  calls.addList();
+  calls.addNextPage({ kind: "list", after: "host-9", found: [] });
+  const pages = [calls.take(), calls.take()].map((call) => (call?.kind === "list" ? call.after : null));
+  assert.deepEqual(pages, ["host-9", ""]);
+});
