--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -6,7 +6,7 @@
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { TermLease } from "../term/termLease.js";
 import type { AcknowledgementLimits } from "./acknowledgementLimits.js";
-import type { HeartbeatServerLimits } from "./heartbeatServer.js";
+import type { HeartbeatServerLimits } from "./acknowledgementRights.js";
 import type { HeartbeatServerRegistry } from "./heartbeatServerRegistry.js";
 
 /** When this controller's requests to the state store were last served and refused, in steady time. */
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -1,37 +1,40 @@
-import type { UnchangedHeartbeat, Heartbeat, ReceivedHeartbeat } from "../../protocol/model.js";
-import type { Grant, PeerMessage, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
-import { encodeRedirect, encodeHeartbeatResponse } from "../../protocol/workers.js";
+/**
+ * The heartbeat server of each controller: responds to workers' heartbeats by the leader's grants, or as leader by its own
+ * lease, and sends the leader every heartbeat that it has acknowledged. Here are its mailbox, its timers and the order of
+ * effects; rights, decisions, batches and balancing are in modules of their own.
+ */
+import type { Heartbeat } from "../../protocol/model.js";
+import type { Grant, HeartbeatServerUpdate, PeerMessage } from "../../protocol/peers/messages.js";
+import { encodeHeartbeatResponse, encodeRedirect } from "../../protocol/workers.js";
+import { Actor } from "../../transport/actor.js";
 import type { Clock, Timer } from "../../transport/clock.js";
 import type { ServerResponse } from "../../transport/httpServer.js";
-import { Actor } from "../../transport/actor.js";
-import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
-import { CLOCK_DRIFT } from "../term/clockDrift.js";
 import { firstFencingToken } from "../term/fencingTokens.js";
+import type { LeadershipChange } from "../term/leadershipLease.js";
+import { AcknowledgementRights, type HeartbeatServerLimits } from "./acknowledgementRights.js";
 import { ConfirmedCancellations } from "./confirmedCancellations.js";
+import { isUnchanged } from "./heartbeatComparison.js";
+import { decideOnHeartbeat, type ServedTerm } from "./heartbeatDecision.js";
+import { HeartbeatUpdates } from "./heartbeatUpdates.js";
+import { ServedWorkers } from "./servedWorkers.js";
 import { WorkerBalancer } from "./workerBalancer.js";
 
 type Message =
   | { kind: "election"; change: LeadershipChange }
-  | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (answer: ServerResponse) => void }
+  | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (response: ServerResponse) => void }
+  /** From the leader, when another controller leads. */
   | { kind: "grant"; grant: Grant }
+  /** From the leader in this process: which controllers serve workers. */
   | { kind: "servers"; servers: Grant["servers"] }
+  /** From the leader in this process: what may be acknowledged. */
   | { kind: "limits"; limits: HeartbeatServerLimits }
+  /** A user has been given the confirmation of a cancellation. */
   | { kind: "cancellation confirmed"; id: string; at: Date }
+  /** A controller of our zone has no right to acknowledge and no leader. */
   | { kind: "isolated"; from: string; term: number }
   | { kind: "flush" }
   | { kind: "tick" };
 
-/** What the leader beside us lets us acknowledge; followers hear it in their grants. */
-export interface HeartbeatServerLimits {
-  term: number;
-  untilMs: number;
-  /** Our own zone's workers, if we are cut off with them. */
-  zoneLeaseUntilMs: number;
-  quarantined: string[];
-  /** The cancellations told here up to that one are known to it. */
-  cancellationSeq: number;
-}
-
 export interface HeartbeatServerOptions {
   node: string;
   zone: string;
@@ -40,137 +43,119 @@
   /** Different in each process; below 2^48. */
   incarnation: number;
   clock: Clock;
+  /** Workers' time between heartbeats, in seconds. */
   heartbeatS: number;
-  /** Cancellations told longer ago than this concern nobody any more. */
+  /** A cancellation that was confirmed longer ago than this can concern no running task. */
   cancellationRetentionMs: number;
-  /** To the leader, whoever that is; true when it went out. */
   sendToLeader: (leader: string, update: HeartbeatServerUpdate) => void;
+  /** To another controller of our zone. */
   sendToNeighbour: (node: string, message: PeerMessage) => void;
-  /** To the leader beside us, while it leads. */
+  /** To the leader in this process, while it leads. */
   sendToLocalLeader: (update: HeartbeatServerUpdate) => void;
-  /** For the first time in this process, reports may be acknowledged. */
+  /** For the first time in this process, heartbeats may be acknowledged. */
   onFirstGrant: () => void;
-  /** A worker has seen the token of a later term. */
+  /** A worker has seen the fencing token of a later term than this one. */
   onLaterTerm: (term: number) => void;
+  /** How far this process is behind with its work. */
   lagMs: () => number;
 }
 
-/** What a node remembers of a worker that reports to it. */
-interface KnownWorker {
-  heartbeat: Heartbeat;
-  /** Newest of its reports, not of its answers to commands. */
-  epoch: number;
-  tick: number;
-  receivedMs: number;
-}
+const STATUS_OK = 200;
+/** The worker should send its heartbeats to the controller that the body names. */
+const STATUS_REDIRECT = 421;
+/** The worker should try the next controller. */
+const STATUS_UNAVAILABLE = 503;
 
 const TICK_MS = 500;
-/** Changes wait this long for company: each frame wakes this process and the leader's. */
+/** Changes wait this long so that they share a frame: each frame wakes this process and the leader's. */
 const BATCH_CHANGES_MS = 40;
-/** A new leader has most to do in this time. */
+/** For so long a new leader has most to do. */
 const NEW_LEADER_MS = 8000;
-/** A worker that has not reported for so long is forgotten here; the leader knows more. */
-const FORGET_MS = 60_000;
-/** Tasks in the reports of one frame. */
-const FRAME_TASKS = 1200;
-/** How long a neighbour's word that it hears from no leader counts; and how long such a word may take to come. */
-const NEIGHBOUR_MS = 1600;
-const DECIDE_MS = 1500;
-/** Without a grant for so long, workers are sent to the leader; before that they find the next node by themselves. */
-const NAME_LEADER_MS = 2500;
+
 /**
- * Answers workers' reports, at every node, under a grant of the leader (or by the leader's own lease). A 200 renews
- * a worker's lease, so it is given only while the grant lasts, and every one of them is told to the leader, whose
- * proofs count on that (rule `ran_twice`). Commands come from the leader alone, by deliveries.
+ * Responds to workers' heartbeats. A response with status 200 renews a worker's lease, so it is given only while this
+ * controller has the right, and the leader is sent every heartbeat that got one, for its proofs by lease expiry count on
+ * that (rule `ran_twice`). The responses carry no commands: those come from the leader alone, by deliveries.
  */
 export class HeartbeatServer extends Actor<Message> {
-  private leader: string | null = null;
-  private term = 0;
-  private lease: LeadershipLease | null = null;
-  private grantUntilMs = -Infinity;
-  /** Until then our own zone's workers may be kept alive, if the whole zone is cut off. */
-  private zoneLeaseUntilMs = -Infinity;
-  /** The last moment at which we might acknowledge anybody's reports. */
-  private rightUntilMs = -Infinity;
-  /** When a neighbour last said that it hears from no leader either. */
-  private neighbourIsolatedMs = -Infinity;
-  /** When we heard of this term first. */
-  private termSeenMs = -Infinity;
-  private lastGrantIssuedAtMs = 0;
-  private lastResyncIssuedAtMs = 0;
-  private sequence = 0;
-  private readonly workers = new Map<string, KnownWorker>();
-  private readonly unchanged = new Map<string, UnchangedHeartbeat>();
-  private readonly changed = new Map<string, KnownWorker>();
-  private machines = 0;
+  private readonly served: ServedTerm;
+  private readonly rights: AcknowledgementRights;
+  private readonly workers: ServedWorkers;
+  private readonly updates: HeartbeatUpdates;
   private readonly balancer: WorkerBalancer;
+  private readonly confirmedCancellations: ConfirmedCancellations;
   /** The other controllers of our zone. */
   private readonly neighbours: string[];
-  /** As leader: what the leader beside us allows in this term. */
-  private limitMs = -Infinity;
-  private quarantined = new Set<string>();
-  private readonly confirmedCancellations: ConfirmedCancellations;
   private hasBeenGranted = false;
-  private flushSet = false;
-  private timer: Timer | null = null;
-  private stopped = false;
+  /** Runs until its message has been handled; null: no flush is due. */
+  private flushTimer: Timer | null = null;
+  private tickTimer: Timer | null = null;
+  private isStopped = false;
 
   constructor(private readonly options: HeartbeatServerOptions) {
     super("heartbeat server");
+    const { node, zone, zones, incarnation, lagMs } = options;
+    this.served = { node, term: 0, leader: null, sinceMs: -Infinity };
+    this.rights = new AcknowledgementRights(zone);
+    this.workers = new ServedWorkers(options.heartbeatS);
     this.confirmedCancellations = new ConfirmedCancellations(options.cancellationRetentionMs);
-    this.balancer = new WorkerBalancer(options.node, options.zones);
-    this.neighbours = [...options.zones]
-      .filter(([node, zone]) => node !== options.node && zone === options.zone)
-      .map(([n]) => n);
+    const cancellations = this.confirmedCancellations;
+    this.updates = new HeartbeatUpdates({ node, incarnation, cancellations, lagMs });
+    this.balancer = new WorkerBalancer(node, zones);
+    this.neighbours = [...zones]
+      .filter(([other, otherZone]) => other !== node && otherZone === zone)
+      .map(([other]) => other);
   }
 
+  /** Begins to tick; before that nothing is sent by the clock. */
   start(): void {
     this.tell({ kind: "tick" });
   }
 
+  /** Ends the timers; nothing is sent to the leader any more. */
   stop(): void {
-    this.stopped = true;
-    this.timer?.cancel();
+    this.isStopped = true;
+    this.tickTimer?.cancel();
+    this.flushTimer?.cancel();
   }
 
-  /** Workers that report here. */
+  /** Workers that lately sent their heartbeats here. */
   get workerCount(): number {
-    return this.machines;
+    return this.workers.workerCount;
   }
 
   protected override failed(message: Message, error: unknown): void {
     super.failed(message, error);
-    if (message.kind === "heartbeat") message.reply({ status: 503, body: {} });
+    if (message.kind === "heartbeat") message.reply({ status: STATUS_UNAVAILABLE, body: {} });
   }
 
   protected override handle(message: Message): void {
     switch (message.kind) {
       case "election":
-        this.elected(message.change);
+        this.applyElection(message.change);
         break;
       case "heartbeat":
-        this.report(message.heartbeat, message.reply);
+        this.receiveHeartbeat(message.heartbeat, message.reply);
         break;
       case "grant":
         this.applyGrant(message.grant);
         break;
       case "servers":
-        // Beside the leader there is no grant to bring them.
-        if (this.lease) this.balancer.setServers(message.servers);
+        // Followers get them with their grants.
+        if (this.rights.isLeader) this.balancer.setServers(message.servers);
         break;
       case "limits":
         this.applyLimits(message.limits);
         break;
       case "cancellation confirmed":
-        // At once: the leader may have starts of it on their way, or be unable to read it.
-        if (this.confirmedCancellations.add(message.id, message.at, this.options.clock.nowMs())) this.flush();
+        this.cancellationConfirmed(message.id, message.at);
         break;
       case "isolated":
-        if (message.term === this.term && this.neighbours.includes(message.from))
-          this.neighbourIsolatedMs = this.options.clock.nowMs();
+        if (message.term === this.served.term && this.neighbours.includes(message.from))
+          this.rights.noteNeighbourIsolated(this.options.clock.nowMs());
         break;
       case "flush":
-        this.flushSet = false;
+        this.flushTimer = null;
         this.flush();
         break;
       case "tick":
@@ -179,270 +164,165 @@
     }
   }
 
-  private elected(news: LeadershipChange): void {
-    const led = this.lease?.term;
-    this.lease = news.lease;
-    this.leader = news.leader;
-    if (news.lease) {
-      if (led !== news.lease.term) this.beginTerm(news.lease.term);
-      this.rightUntilMs = Math.max(this.rightUntilMs, news.lease.acknowledgeUntilMs);
-    } else if (news.leader !== null && news.term > this.term) {
-      this.beginTerm(news.term);
+  private applyElection({ lease, leader, term }: LeadershipChange): void {
+    const { rights, served } = this;
+    const ledTerm = rights.ledTerm;
+    rights.setLease(lease);
+    served.leader = leader;
+    if (lease) {
+      if (ledTerm !== lease.term) this.beginTerm(lease.term);
+      rights.noteLeaseEnd(lease);
+    } else if (leader !== null && term > served.term) {
+      this.beginTerm(term);
     }
-    // Without a leader a grant goes on until its end: it was counted when it was given.
+    // Without a leader a grant is used to its end: the leader that issued it counted on that.
   }
 
-  /** A new term: whatever we know of our workers is news to its leader. */
+  /** The new term's leader knows nothing of our workers: it is sent all of them. */
   private beginTerm(term: number): void {
-    this.term = term;
-    this.termSeenMs = this.options.clock.nowMs();
-    this.dropGrants();
-    this.lastGrantIssuedAtMs = 0;
-    this.lastResyncIssuedAtMs = 0;
-    this.sequence = 0;
+    const nowMs = this.options.clock.nowMs();
+    this.served.term = term;
+    this.served.sinceMs = nowMs;
+    this.rights.drop();
+    this.updates.beginTerm();
     this.balancer.setServers([]);
     this.confirmedCancellations.beginTerm();
-    this.unchanged.clear();
-    this.resync();
+    this.updates.resync(this.workers.forResync(nowMs));
     this.flush();
   }
 
-  /** Whatever an earlier leader gave us: the next one counts on it that we use none of it from here on. */
-  private dropGrants(): void {
-    this.grantUntilMs = -Infinity;
-    this.zoneLeaseUntilMs = -Infinity;
-    this.rightUntilMs = -Infinity;
-    this.neighbourIsolatedMs = -Infinity;
-    this.limitMs = -Infinity;
-  }
-
   private applyLimits(limits: HeartbeatServerLimits): void {
-    if (this.lease?.term !== limits.term) return;
-    this.limitMs = limits.untilMs;
-    this.zoneLeaseUntilMs = Math.max(this.zoneLeaseUntilMs, limits.zoneLeaseUntilMs);
-    this.quarantined = new Set(limits.quarantined);
+    if (this.rights.ledTerm !== limits.term) return;
+    this.rights.applyLimits(limits);
     this.confirmedCancellations.acknowledgeUpTo(limits.cancellationSeq);
     this.noteFirstGrant();
   }
 
-  private noteFirstGrant(): void {
-    if (this.hasBeenGranted || this.options.clock.nowMs() >= this.untilMs()) return;
-    this.hasBeenGranted = true;
-    this.options.onFirstGrant();
-  }
-
-  private resync(): void {
-    const now = this.options.clock.nowMs();
-    for (const [name, worker] of this.workers) {
-      if (now - worker.receivedMs < 4000 * this.options.heartbeatS) this.changed.set(name, worker);
-    }
-  }
-
-  private untilMs(): number {
-    return this.lease ? Math.min(this.lease.acknowledgeUntilMs, this.limitMs) : this.grantUntilMs;
-  }
-
   private applyGrant(grant: Grant): void {
-    const now = this.options.clock.nowMs();
-    // Only an answer to a question of this very process, in this term, and to a recent one.
-    if (
-      this.lease ||
-      grant.term !== this.term ||
-      grant.from !== this.leader ||
-      grant.incarnation !== this.options.incarnation
-    )
-      return;
-    if (grant.resync && grant.issuedAtMs > this.lastResyncIssuedAtMs) {
-      this.lastResyncIssuedAtMs = grant.issuedAtMs;
-      this.resync();
+    if (!this.isForUs(grant)) return;
+    const nowMs = this.options.clock.nowMs();
+    if (grant.resync && this.updates.noteResync(grant.issuedAtMs)) {
+      this.updates.resync(this.workers.forResync(nowMs));
       this.flushSoon();
     }
-    if (grant.requestedAtMs > now || now - grant.requestedAtMs > 10_000) return;
-    this.grantUntilMs = Math.max(
-      this.grantUntilMs,
-      grant.requestedAtMs + grant.durationMs * (1 - 2 * CLOCK_DRIFT),
-    );
-    this.rightUntilMs = Math.max(this.rightUntilMs, this.grantUntilMs);
-    if (grant.zoneDurationMs > 0)
-      this.zoneLeaseUntilMs = Math.max(
-        this.zoneLeaseUntilMs,
-        grant.requestedAtMs + grant.zoneDurationMs * (1 - 2 * CLOCK_DRIFT),
-      );
-    this.lastGrantIssuedAtMs = Math.max(this.lastGrantIssuedAtMs, grant.issuedAtMs);
+    if (!this.rights.applyGrant(grant, nowMs)) return;
+    this.updates.noteGrant(grant.issuedAtMs);
     this.confirmedCancellations.acknowledgeUpTo(grant.cancellationSeq);
-    this.quarantined = new Set(grant.quarantined);
     this.balancer.setServers(grant.servers);
     this.noteFirstGrant();
   }
 
-  private report(report: Heartbeat, reply: (answer: ServerResponse) => void): void {
-    const now = this.options.clock.nowMs();
-    const ownZone = now >= this.untilMs();
-    if (ownZone && !this.mayServeOwnZone(report.zone, now)) {
-      const elsewhere = this.lease ? null : this.leader;
-      // A grant comes within a moment, or a leader that is gone is replaced. Sent to the leader meanwhile, all workers
-      // arrived there at once, when it has most to do, and many of their leases ran out in its line.
-      const patient = now - Math.max(this.grantUntilMs, this.termSeenMs) < NAME_LEADER_MS;
-      if (elsewhere === null || elsewhere === this.options.node || patient) reply({ status: 503, body: {} });
-      else reply({ status: 421, body: encodeRedirect(elsewhere) });
-      return;
-    }
-    if (report.fencingToken >= firstFencingToken(this.term + 1)) {
-      // A later leader has spoken to it: a 200 from us would be dropped and hold the worker here.
-      this.dropGrants();
-      this.options.onLaterTerm(this.term);
-      reply({ status: 503, body: {} });
-      return;
-    }
-    const known = this.workers.get(report.machine);
-    if (known && isLateCopy(known, report)) {
-      // Nobody waits for the answer, and it proves nothing: the worker sends one report at a time.
-      reply({ status: 503, body: {} });
-      return;
-    }
-    if (this.quarantined.has(report.machine)) {
-      // A cancelled task there has not shown that it is gone: its lease has to end in time (rule `ran_cancelled`).
-      reply({ status: 503, body: {} });
-      return;
-    }
-    this.balancer.noteReturn(report.machine, now);
-    const other = ownZone ? null : this.redirectTarget(report, known !== undefined, now);
-    if (other !== null) {
-      this.workers.delete(report.machine);
-      reply({ status: 421, body: encodeRedirect(other) });
-      return;
-    }
-    reply({
-      status: 200,
-      body: encodeHeartbeatResponse(Math.max(firstFencingToken(this.term), report.fencingToken), []),
-    });
-    const same = known !== undefined && isUnchanged(known.heartbeat, report);
-    const entry = { heartbeat: report, epoch: report.epoch, tick: report.tick, receivedMs: now };
-    this.workers.set(report.machine, entry);
-    if (same && !this.changed.has(report.machine)) {
-      this.unchanged.set(report.machine, {
-        machine: report.machine,
-        epoch: report.epoch,
-        tick: report.tick,
-      });
-      if (this.lease) this.flush();
-      return;
+  /** Only a grant that this very process has requested, from this term's leader. */
+  private isForUs(grant: Grant): boolean {
+    return (
+      !this.rights.isLeader &&
+      grant.term === this.served.term &&
+      grant.from === this.served.leader &&
+      grant.incarnation === this.options.incarnation
+    );
+  }
+
+  private noteFirstGrant(): void {
+    if (this.hasBeenGranted || this.options.clock.nowMs() >= this.rights.untilMs) return;
+    this.hasBeenGranted = true;
+    this.options.onFirstGrant();
+  }
+
+  private cancellationConfirmed(id: string, at: Date): void {
+    const isNew = this.confirmedCancellations.add(id, at, this.options.clock.nowMs());
+    // At once: the leader may have starts of it under way, or be unable to read it.
+    if (isNew) this.flush();
+  }
+
+  private receiveHeartbeat(heartbeat: Heartbeat, reply: (response: ServerResponse) => void): void {
+    const nowMs = this.options.clock.nowMs();
+    const known = this.workers.get(heartbeat.machine);
+    const decision = decideOnHeartbeat(heartbeat, known, this.rights, this.served, nowMs);
+    switch (decision.kind) {
+      case "refuse":
+        reply({ status: STATUS_UNAVAILABLE, body: {} });
+        break;
+      case "redirect":
+        reply({ status: STATUS_REDIRECT, body: encodeRedirect(decision.to) });
+        break;
+      case "deposed":
+        this.rights.drop();
+        this.options.onLaterTerm(this.served.term);
+        reply({ status: STATUS_UNAVAILABLE, body: {} });
+        break;
+      case "acknowledge": {
+        this.balancer.noteReturn(heartbeat.machine, nowMs);
+        const to = decision.byZoneLease ? null : this.redirectTarget(heartbeat, known !== undefined, nowMs);
+        if (to === null) {
+          const body = encodeHeartbeatResponse(this.fencingTokenFor(heartbeat), []);
+          reply({ status: STATUS_OK, body });
+          this.recordAcknowledged(heartbeat, known, nowMs);
+        } else {
+          this.workers.forget(heartbeat.machine);
+          reply({ status: STATUS_REDIRECT, body: encodeRedirect(to) });
+        }
+        break;
+      }
     }
-    this.unchanged.delete(report.machine);
-    this.changed.set(report.machine, entry);
-    if (this.lease) this.flush();
-    else this.flushSoon();
   }
 
-  /**
-   * A zone that is cut off goes on working inside, and its tasks live as long as somebody there acknowledges their
-   * workers. Alone we can't tell such a cut from one of our own, where the workers would find the others if we sent
-   * them on: so only while a neighbour says that it hears from no leader either, or for the moment until it can say so.
-   */
-  private mayServeOwnZone(zone: string, now: number): boolean {
-    if (zone !== this.options.zone || now >= this.zoneLeaseUntilMs) return false;
-    return now - this.rightUntilMs < DECIDE_MS || now - this.neighbourIsolatedMs < NEIGHBOUR_MS;
+  /** The token that a response carries: at least this term's first one, so that older leaders' commands are refused. */
+  private fencingTokenFor(heartbeat: Heartbeat): number {
+    return Math.max(firstFencingToken(this.served.term), heartbeat.fencingToken);
   }
 
-  /** Another controller that this worker should go to; null: stay. */
-  private redirectTarget(report: Heartbeat, isKnown: boolean, now: number): string | null {
-    return this.balancer.redirectTarget(report, {
+  /** Another controller that this worker should go to; null: it stays. */
+  private redirectTarget(heartbeat: Heartbeat, isKnown: boolean, nowMs: number): string | null {
+    return this.balancer.redirectTarget(heartbeat, {
       isKnown,
-      leader: this.leader,
-      leaderIsNew: now - this.termSeenMs < NEW_LEADER_MS,
+      leader: this.served.leader,
+      leaderIsNew: nowMs - this.served.sinceMs < NEW_LEADER_MS,
       lagMs: this.options.lagMs(),
-      nowMs: now,
+      nowMs,
     });
   }
 
+  /** Has the leader sent what was acknowledged: by a leader itself at once, otherwise soon if it says something new. */
+  private recordAcknowledged(heartbeat: Heartbeat, known: Heartbeat | undefined, nowMs: number): void {
+    const isSame = known !== undefined && isUnchanged(known, heartbeat);
+    const worker = this.workers.record(heartbeat, nowMs);
+    const isPlainRenewal = isSame && !this.updates.isChanged(heartbeat.machine);
+    if (isPlainRenewal) this.updates.addUnchanged(heartbeat);
+    else this.updates.addChanged(worker);
+    if (this.rights.isLeader) this.flush();
+    else if (!isPlainRenewal) this.flushSoon();
+  }
+
   private flushSoon(): void {
-    if (this.flushSet || this.stopped) return;
-    this.flushSet = true;
-    this.options.clock.after(BATCH_CHANGES_MS, () => this.tell({ kind: "flush" }));
+    if (this.flushTimer !== null || this.isStopped) return;
+    this.flushTimer = this.options.clock.after(BATCH_CHANGES_MS, () => this.tell({ kind: "flush" }));
   }
 
+  /** Sends the leader what it does not know; also without anything new, as the request for the next grant. */
   private flush(): void {
-    if (this.stopped || this.leader === null || this.term === 0) return;
-    const now = this.options.clock.nowMs();
-    const reports: ReceivedHeartbeat[][] = [[]];
-    let tasks = 0;
-    for (const worker of this.changed.values()) {
-      if (tasks + worker.heartbeat.tasks.length > FRAME_TASKS) {
-        reports.push([]);
-        tasks = 0;
-      }
-      tasks += worker.heartbeat.tasks.length + 5;
-      reports
-        .at(-1)!
-        .push({ ageMs: Math.max(0, Math.round(now - worker.receivedMs)), heartbeat: worker.heartbeat });
+    const { leader, term } = this.served;
+    if (this.isStopped || leader === null || term === 0) return;
+    const updates = this.updates.take(term, this.workers.workerCount, this.options.clock.nowMs());
+    for (const update of updates) {
+      if (this.rights.isLeader) this.options.sendToLocalLeader(update);
+      else this.options.sendToLeader(leader, update);
     }
-    this.changed.clear();
-    const unchanged = [...this.unchanged.values()];
-    this.unchanged.clear();
-    const cancellations = this.confirmedCancellations.nextUpdate(now);
-    reports.forEach((part, i) => {
-      const last = i === reports.length - 1;
-      const update: HeartbeatServerUpdate = {
-        kind: "heartbeat server update",
-        from: this.options.node,
-        term: this.term,
-        incarnation: this.options.incarnation,
-        sequence: ++this.sequence,
-        // All of it is told only with the last part.
-        lastGrantIssuedAtMs: last ? this.lastGrantIssuedAtMs : 0,
-        lastResyncIssuedAtMs: last ? this.lastResyncIssuedAtMs : 0,
-        requestedAtMs: Math.floor(now),
-        machines: this.machines,
-        lagMs: Math.round(this.options.lagMs()),
-        unchanged: last ? unchanged : [],
-        heartbeats: part,
-        ...(last ? cancellations : { cancellations: [], cancellationSeq: 0, cancellationsComplete: false }),
-      };
-      if (this.lease) this.options.sendToLocalLeader(update);
-      else if (this.leader !== null) this.options.sendToLeader(this.leader, update);
-    });
   }
 
   private tick(): void {
-    if (this.stopped) return;
-    this.timer = this.options.clock.after(TICK_MS, () => this.tell({ kind: "tick" }));
-    const now = this.options.clock.nowMs();
-    this.machines = 0;
-    for (const [name, worker] of this.workers) {
-      if (now - worker.receivedMs > FORGET_MS) this.workers.delete(name);
-      else if (now - worker.receivedMs < 2500 * this.options.heartbeatS) this.machines++;
-    }
-    this.confirmedCancellations.expire(now);
-    this.balancer.forgetOld(now);
-    if (!this.lease) this.flush();
-    if (now >= this.untilMs() && now < this.zoneLeaseUntilMs) {
-      for (const node of this.neighbours)
-        this.options.sendToNeighbour(node, { kind: "isolated", from: this.options.node, term: this.term });
-    }
+    if (this.isStopped) return;
+    this.tickTimer = this.options.clock.after(TICK_MS, () => this.tell({ kind: "tick" }));
+    const nowMs = this.options.clock.nowMs();
+    this.workers.expire(nowMs);
+    this.confirmedCancellations.expire(nowMs);
+    this.balancer.forgetOld(nowMs);
+    if (!this.rights.isLeader) this.flush();
+    if (this.rights.isIsolated(nowMs)) this.announceIsolation();
   }
-}
-
-/** Older than a report that the worker has sent since, or the same once more. Pure. */
-export function isLateCopy(known: { epoch: number; tick: number }, report: Heartbeat): boolean {
-  return report.epoch < known.epoch || (report.epoch === known.epoch && report.tick <= known.tick);
-}
 
-/** Does the newer report tell the leader nothing but that the worker lives? Pure. */
-export function isUnchanged(known: Heartbeat, newer: Heartbeat): boolean {
-  if (
-    known.epoch !== newer.epoch ||
-    known.fencingToken !== newer.fencingToken ||
-    (known.interruptionNoticeS === null) !== (newer.interruptionNoticeS === null)
-  )
-    return false;
-  if (known.address !== newer.address || known.tasks.length !== newer.tasks.length) return false;
-  return known.tasks.every((task, i) => {
-    const other = newer.tasks[i]!;
-    return (
-      task.phase === other.phase &&
-      task.task === other.task &&
-      task.jobId === other.jobId &&
-      task.attempt === other.attempt
-    );
-  });
+  private announceIsolation(): void {
+    const { node, term } = this.served;
+    for (const neighbour of this.neighbours)
+      this.options.sendToNeighbour(neighbour, { kind: "isolated", from: node, term });
+  }
 }
--- a/src/coordination/leader/leaderOptions.ts
+++ b/src/coordination/leader/leaderOptions.ts
@@ -4,7 +4,7 @@
 import type { Operator } from "../../settings/operator.js";
 import type { Platform } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
-import type { HeartbeatServerLimits } from "../heartbeats/heartbeatServer.js";
+import type { HeartbeatServerLimits } from "../heartbeats/acknowledgementRights.js";
 import type { CloudClient } from "../provisioning/cloudClient.js";
 
 /** What a leader uses of its controller. */
--- a/test/heartbeatServer.test.ts
+++ b/test/heartbeatServer.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { isLateCopy, isUnchanged } from "../src/coordination/heartbeats/heartbeatServer.js";
+import { isLateCopy, isUnchanged } from "../src/coordination/heartbeats/heartbeatComparison.js";
 import type { Heartbeat } from "../src/protocol/model.js";
 import { World } from "./fakes/world.js";
 
