--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -1,3 +1,4 @@
+/** Issues the grants by which the other controllers acknowledge heartbeats, and the limits of the one in this process. */
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { Platform } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
@@ -28,30 +29,31 @@
   /** All cancellations that were committed before then have been read from the state store. */
   cancellationsReadUntilMs: () => number;
   sendGrant: (peer: string, grant: Grant) => void;
-  /** Who serves workers: the heartbeat server beside us spreads them, too. */
+  /** Which controllers serve workers, for the heartbeat server in this process, which spreads workers as well. */
   onServers: (servers: Grant["servers"]) => void;
-  /** What the heartbeat server beside us may acknowledge. */
+  /** What the heartbeat server in this process may acknowledge. */
   onLimits: (limits: HeartbeatServerLimits) => void;
-  /** Workers that report to this controller. */
+  /** Workers that lately sent their heartbeats to this controller. */
   workerCount: () => number;
+  /** How far this controller is behind with its work. */
   lagMs: () => number;
 }
 
 /**
- * Owns the right to acknowledge heartbeats, and lends it to the other controllers: never for longer than the leader
- * itself has it, and never past what it knows of cancellations (rule `ran_cancelled`).
+ * Owns the grants of a term: a controller may acknowledge heartbeats for no longer than the leader itself, and never past
+ * what the leader knows of cancellations (rule `ran_cancelled`).
  */
 export class GrantIssuer {
   /** The other controllers' zones. */
   private readonly zones: ReadonlyMap<string, string>;
-  /** Cancellations that were confirmed at this controller are known up to that one. */
+  /** Number of the last cancellation confirmed by this very process that has been applied. */
   private localCancellationSeq = 0;
 
   constructor(private readonly context: GrantIssuerContext) {
     this.zones = new Map(context.platform.peers.map((peer) => [peer.name, peer.zone]));
   }
 
-  /** A grant in answer to what another controller has told of its workers, if it may have one. */
+  /** Sends a grant in response to another controller's update, if it may have one. */
   issueGrant(update: HeartbeatServerUpdate, nowMs: number): void {
     const { servers, limits, lease, stateStore } = this.context;
     const grant = servers.grant(update, {
@@ -64,11 +66,11 @@
     });
     if (!grant) return;
     this.context.sendGrant(update.from, grant);
-    // The heartbeat server beside us spreads workers as well, from the first moment on.
+    // The heartbeat server in this process spreads workers as well, and gets no grant.
     this.context.onServers(grant.servers);
   }
 
-  /** What a controller has confirmed to users as cancelled, perhaps before the leader can read it. */
+  /** Cancels the jobs whose cancellation a controller has confirmed to users, perhaps before the leader can read it. */
   applyCancellations(update: HeartbeatServerUpdate, nowMs: number): void {
     if (update.from === this.context.platform.node)
       this.localCancellationSeq = Math.max(this.localCancellationSeq, update.cancellationSeq);
@@ -79,7 +81,7 @@
     }
   }
 
-  /** Works out anew what may be acknowledged, and tells the heartbeat server beside us. */
+  /** Computes anew what may be acknowledged, and publishes it to the heartbeat server in this process. */
   updateLimits(nowMs: number): void {
     const { platform, lease, limits, servers, jobs, clock } = this.context;
     if (!lease.isLoaded) return;
@@ -95,12 +97,12 @@
     });
   }
 
-  /** Tells the heartbeat server beside us who serves workers. */
+  /** Publishes the controllers that serve workers to the heartbeat server in this process. */
   publishServers(nowMs: number): void {
     this.context.onServers(this.context.servers.activeServers(this.ownLoad(), nowMs));
   }
 
-  /** How long a controller may keep that zone's workers alive if it is cut off with them from now on; 0: not at all. */
+  /** For how long a controller that is cut off with that zone may acknowledge its workers from now on; 0: not at all. */
   private zoneLeaseMs(zone: string, nowMs: number): number {
     const { lease, limits } = this.context;
     if (!lease.isLoaded || !lease.mayWrite()) return 0;
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -1,150 +1,100 @@
+/** The leader's knowledge of the controllers that acknowledge heartbeats under its grants. */
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import { CLOCK_DRIFT } from "../term/clockDrift.js";
 import type { HeartbeatServerFacts } from "../term/leaseProofs.js";
+import {
+  applyCancellationsToRecord,
+  applyUpdateToRecord,
+  newServerRecord,
+  type HeartbeatServerRecord,
+} from "./heartbeatServerRecord.js";
 
-/** How long a controller may acknowledge reports without hearing from the leader again. */
+/** How long a controller may acknowledge heartbeats by one grant. */
 export const GRANT_DURATION_MS = 2000;
-const MIN_GAP_MS = 250;
+/** An update that follows the last grant more closely than this gets none: most updates carry changes, not a request. */
+const MIN_GRANT_INTERVAL_MS = 250;
+/** A grant counts as used for so much longer than the clocks' drift explains. */
+const GRANT_MARGIN_MS = 10;
+/** Leadership is only handed to a controller whose last update is younger than this, and that many times faster. */
+const MAX_UPDATE_AGE_MS = 1500;
+const FASTER_BY = 3;
+
+/** A controller that serves workers: its name, how many workers it has, how far it is behind. */
+type ServerLoad = Grant["servers"][number];
 
 /** What a grant may allow, as the leader stands at that moment. */
 export interface GrantTerms {
   /** The leader's own load. */
-  self: Grant["servers"][number];
+  self: ServerLoad;
   nowMs: number;
   /** Until then the leader itself may acknowledge heartbeats. */
   acknowledgeUntilMs: number;
   stateStoreReachable: boolean;
-  /** For workers of the asker's own zone; 0: no longer than for the rest. */
+  /** For workers of the requesting controller's own zone; 0: no longer than for the rest. */
   zoneDurationMs: number;
+  /** Machines whose heartbeats may not be acknowledged. */
   quarantined: string[];
 }
 
-interface ServerRecord extends HeartbeatServerFacts {
-  /** After this it acknowledges nothing of its own zone's workers either. */
-  zoneLeaseUntilMs: number;
-  /** Before this it may have acknowledged anything of its own zone, under an earlier leader. */
-  zoneBlindMs: number;
-  incarnation: number;
-  sequence: number;
-  machines: number;
-  lagMs: number;
-  receivedMs: number;
-  grantedMs: number;
-  /** Since when something of it is missing here; Infinity: nothing. */
-  missingMs: number;
-  /** When this process of it was heard first. */
-  processSinceMs: number;
-  /** All cancellations that this process told users of before then are known here. */
-  cancellationsKnownMs: number;
-  cancellationSeq: number;
-}
-
 /**
- * What the leader knows of the controllers that acknowledge reports under its grants: until when they may, and up to
- * when all that they have acknowledged is known here. Every proof by an elapsed lease asks it (rule `ran_twice`).
+ * Owns what the leader knows of the other controllers in its term: until when each may acknowledge heartbeats, and up to
+ * when all that it acknowledged is known here. Every proof by lease expiry relies on it (rule `ran_twice`).
  */
 export class HeartbeatServerRegistry {
-  private readonly records = new Map<string, ServerRecord>();
+  private readonly records = new Map<string, HeartbeatServerRecord>();
 
   constructor(
     /** The other controllers' zones. */
     private readonly zones: ReadonlyMap<string, string>,
-    /** The longest that an earlier leader can have given a controller its own zone for. */
+    /** The longest lease on its own zone that an earlier leader can have given a controller; 0: none. */
     private readonly longestZoneLeaseMs: number,
   ) {}
 
-  /** What came in, in its order; a gap in it makes everything before this moment unknown. */
+  /** Takes in an update, in the order in which they arrived; a gap makes acknowledgements up to now unknown. */
   applyUpdate(update: HeartbeatServerUpdate, nowMs: number): void {
     let record = this.records.get(update.from);
     if (!record) {
-      record = {
-        grantUntilMs: -Infinity,
-        zoneLeaseUntilMs: -Infinity,
-        // With its first frame of this term it has given up what an earlier leader gave it.
-        zoneBlindMs: nowMs,
-        // In this term it could acknowledge nothing before its first grant.
-        acknowledgementsKnownUntilMs: nowMs,
-        acknowledgementsUnknownBeforeMs: -Infinity,
-        incarnation: update.incarnation,
-        sequence: 0,
-        machines: 0,
-        lagMs: 0,
-        receivedMs: nowMs,
-        grantedMs: -Infinity,
-        missingMs: Infinity,
-        processSinceMs: nowMs,
-        cancellationsKnownMs: -Infinity,
-        cancellationSeq: 0,
-      };
+      record = newServerRecord(update, nowMs);
       this.records.set(update.from, record);
     }
-    if (record.incarnation !== update.incarnation || update.sequence !== record.sequence + 1) {
-      // A lost frame named acknowledgements that nobody will name again. A process that came back may have had
-      // untold ones as well, and its first frame may follow a grant to its forerunner.
-      if (record.grantUntilMs > -Infinity) record.acknowledgementsUnknownBeforeMs = nowMs;
-      if (update.sequence !== 1) record.missingMs = nowMs;
-    }
-    // Asked until it is answered: asked once, and the question lost or too late for who stood still, a machine whose last
-    // word had been lost was heard from then on as one with nothing new to say, and its job was never done.
-    else if (update.lastResyncIssuedAtMs >= record.missingMs) record.missingMs = Infinity;
-    if (record.incarnation !== update.incarnation) {
-      record.processSinceMs = nowMs;
-      record.cancellationsKnownMs = -Infinity;
-      record.cancellationSeq = 0;
-    }
-    record.incarnation = update.incarnation;
-    record.sequence = update.sequence;
-    record.acknowledgementsKnownUntilMs = Math.max(
-      record.acknowledgementsKnownUntilMs,
-      Math.min(update.lastGrantIssuedAtMs, nowMs),
-    );
-    record.machines = update.machines;
-    record.lagMs = update.lagMs;
-    record.receivedMs = nowMs;
+    applyUpdateToRecord(record, update, nowMs);
   }
 
-  /** Its cancellations were taken over. */
+  /** The cancellations that the update names have been applied. */
   applyCancellations(update: HeartbeatServerUpdate, nowMs: number): void {
     const record = this.records.get(update.from);
-    if (!record || record.incarnation !== update.incarnation) return;
-    record.cancellationSeq = Math.max(record.cancellationSeq, update.cancellationSeq);
-    // Whatever it tells after our stamp came in is told after that stamp.
-    if (update.cancellationsComplete)
-      record.cancellationsKnownMs = Math.max(
-        record.cancellationsKnownMs,
-        Math.min(update.lastGrantIssuedAtMs, nowMs),
-      );
+    if (record) applyCancellationsToRecord(record, update, nowMs);
   }
 
   /**
-   * Up to when all cancellations that users were told of are known here: read from the state service, or named by the
-   * controllers themselves. What a process had told that is over by now can only be read, after we first heard the next.
+   * Up to when every cancellation that was confirmed to a user is known here: read from the state store, which is done up
+   * to `readUntilMs`, or named by the controller that confirmed it. What a controller's earlier process had confirmed can
+   * only be read, after the first update of the next one arrived.
    */
-  cancellationsKnownUntilMs(readMs: number): number {
-    let knownMs = Infinity;
+  cancellationsKnownUntilMs(readUntilMs: number): number {
+    let knownUntilMs = Infinity;
     for (const node of this.zones.keys()) {
       const record = this.records.get(node);
-      const toldMs = record && readMs >= record.processSinceMs ? record.cancellationsKnownMs : -Infinity;
-      knownMs = Math.min(knownMs, Math.max(readMs, toldMs));
+      const isNamed = record !== undefined && readUntilMs >= record.incarnationSinceMs;
+      const namedUntilMs = isNamed ? record.cancellationsKnownUntilMs : -Infinity;
+      knownUntilMs = Math.min(knownUntilMs, Math.max(readUntilMs, namedUntilMs));
     }
-    return knownMs;
+    return knownUntilMs;
   }
 
-  /** A new grant in answer to that frame, unless the last one is young. Never longer than we may act ourselves. */
+  /**
+   * A new grant in response to that update, never for longer than the leader itself may acknowledge; null: the leader may
+   * not, or the last grant is too recent.
+   */
   grant(update: HeartbeatServerUpdate, terms: GrantTerms): Grant | null {
-    const { self, nowMs, acknowledgeUntilMs, stateStoreReachable, zoneDurationMs, quarantined } = terms;
+    const { self, nowMs, acknowledgeUntilMs, zoneDurationMs } = terms;
     const record = this.records.get(update.from);
     const durationMs = Math.floor(Math.min(GRANT_DURATION_MS, acknowledgeUntilMs - nowMs));
-    if (!record || durationMs <= 0 || nowMs - record.grantedMs < MIN_GAP_MS) return null;
-    record.grantedMs = nowMs;
-    // It counts from when it asked, which was before now.
-    record.grantUntilMs = Math.max(record.grantUntilMs, nowMs + durationMs * (1 + 2 * CLOCK_DRIFT) + 10);
+    if (!record || durationMs <= 0 || nowMs - record.lastGrantMs < MIN_GRANT_INTERVAL_MS) return null;
+    record.lastGrantMs = nowMs;
+    record.grantUntilMs = Math.max(record.grantUntilMs, latestEndMs(nowMs, durationMs));
     if (zoneDurationMs > 0)
-      record.zoneLeaseUntilMs = Math.max(
-        record.zoneLeaseUntilMs,
-        nowMs + zoneDurationMs * (1 + 2 * CLOCK_DRIFT) + 10,
-      );
-    const resync = record.missingMs < Infinity;
+      record.zoneLeaseUntilMs = Math.max(record.zoneLeaseUntilMs, latestEndMs(nowMs, zoneDurationMs));
     return {
       kind: "grant",
       from: self.node,
@@ -154,16 +104,16 @@
       durationMs,
       zoneDurationMs,
       issuedAtMs: Math.floor(nowMs),
-      stateStoreReachable,
-      resync,
+      stateStoreReachable: terms.stateStoreReachable,
+      resync: record.resyncNeededSinceMs < Infinity,
       cancellationSeq: record.cancellationSeq,
-      quarantined,
+      quarantined: terms.quarantined,
       servers: this.activeServers(self, nowMs),
     };
   }
 
-  /** Who serves workers at present, and how many. */
-  activeServers(self: Grant["servers"][number], nowMs: number): Grant["servers"] {
+  /** The controllers that serve workers at present: the leader (`self`) and those with a grant. */
+  activeServers(self: ServerLoad, nowMs: number): ServerLoad[] {
     const servers = [{ ...self }];
     for (const [node, record] of this.records) {
       if (record.grantUntilMs > nowMs) servers.push({ node, machines: record.machines, lagMs: record.lagMs });
@@ -171,44 +121,58 @@
     return servers;
   }
 
+  /** Heartbeats of that controller's workers are missing here: its grants ask for a resync until it is carried out. */
   requestResync(node: string, nowMs: number): void {
     const record = this.records.get(node);
-    if (record && record.missingMs === Infinity) record.missingMs = nowMs;
+    if (record && record.resyncNeededSinceMs === Infinity) record.resyncNeededSinceMs = nowMs;
   }
 
   /**
-   * What counts for a machine of that zone (not known: of any). Who has not been heard in this term may still use what
-   * an earlier leader gave it, which had ended its own giving by `othersSilentFromMs`.
+   * What each controller may have acknowledged for a worker of that zone ("": the zone is not known, so any). A controller
+   * without an update in this term may still use a zone lease of an earlier leader; all of those leaders had stopped
+   * issuing by `earlierLeadersSilentFromMs`.
    */
-  *acknowledgementFacts(zone: string, othersSilentFromMs: number): Iterable<HeartbeatServerFacts> {
+  *acknowledgementFacts(zone: string, earlierLeadersSilentFromMs: number): Iterable<HeartbeatServerFacts> {
     for (const [node, serverZone] of this.zones) {
       const record = this.records.get(node);
-      const own = zone === "" || serverZone === zone;
-      if (!record) {
-        if (!own || this.longestZoneLeaseMs === 0) continue;
-        const grantUntilMs = othersSilentFromMs + this.longestZoneLeaseMs * (1 + 2 * CLOCK_DRIFT);
-        yield {
-          grantUntilMs,
-          acknowledgementsKnownUntilMs: -Infinity,
-          acknowledgementsUnknownBeforeMs: -Infinity,
-        };
-      } else if (own) {
-        yield {
-          grantUntilMs: Math.max(record.grantUntilMs, record.zoneLeaseUntilMs),
-          acknowledgementsKnownUntilMs: record.acknowledgementsKnownUntilMs,
-          acknowledgementsUnknownBeforeMs:
-            this.longestZoneLeaseMs === 0
-              ? record.acknowledgementsUnknownBeforeMs
-              : Math.max(record.acknowledgementsUnknownBeforeMs, record.zoneBlindMs),
-        };
-      } else yield record;
+      const isOwnZone = zone === "" || serverZone === zone;
+      if (record) yield isOwnZone ? this.ownZoneFacts(record) : record;
+      else if (isOwnZone && this.longestZoneLeaseMs > 0)
+        yield this.earlierTermFacts(earlierLeadersSilentFromMs);
     }
   }
 
-  /** Does any controller that we can hand over to keep up clearly better than we do? */
+  /** For a worker of the controller's own zone, its lease on the zone counts as well. */
+  private ownZoneFacts(record: HeartbeatServerRecord): HeartbeatServerFacts {
+    const unknownBeforeMs = record.acknowledgementsUnknownBeforeMs;
+    return {
+      grantUntilMs: Math.max(record.grantUntilMs, record.zoneLeaseUntilMs),
+      acknowledgementsKnownUntilMs: record.acknowledgementsKnownUntilMs,
+      acknowledgementsUnknownBeforeMs:
+        this.longestZoneLeaseMs === 0
+          ? unknownBeforeMs
+          : Math.max(unknownBeforeMs, record.zoneAcknowledgementsUnknownBeforeMs),
+    };
+  }
+
+  /** For a controller without an update in this term: it may use the longest zone lease that it can have, to the end. */
+  private earlierTermFacts(earlierLeadersSilentFromMs: number): HeartbeatServerFacts {
+    return {
+      grantUntilMs: earlierLeadersSilentFromMs + this.longestZoneLeaseMs * (1 + 2 * CLOCK_DRIFT),
+      acknowledgementsKnownUntilMs: -Infinity,
+      acknowledgementsUnknownBeforeMs: -Infinity,
+    };
+  }
+
+  /** Does any controller that is connected keep up clearly better than the leader, which is so far behind? */
   hasFasterServer(lagMs: number, nowMs: number): boolean {
-    for (const b of this.records.values())
-      if (nowMs - b.receivedMs < 1500 && b.lagMs * 3 < lagMs) return true;
+    for (const record of this.records.values())
+      if (nowMs - record.lastUpdateMs < MAX_UPDATE_AGE_MS && record.lagMs * FASTER_BY < lagMs) return true;
     return false;
   }
 }
+
+/** When a grant of that duration has certainly ended. The controller counts it from its request, which was before now. */
+function latestEndMs(nowMs: number, durationMs: number): number {
+  return nowMs + durationMs * (1 + 2 * CLOCK_DRIFT) + GRANT_MARGIN_MS;
+}
--- a/src/coordination/heartbeats/workerBalancer.ts
+++ b/src/coordination/heartbeats/workerBalancer.ts
@@ -1,40 +1,82 @@
-import type { Grant } from "../../protocol/peers/messages.js";
+/**
+ * Spreads workers over the controllers that serve them: which worker is redirected, and to which controller. The choice is
+ * a pure function (`chooseServer`); the balancer limits how fast workers move and avoids controllers that they don't reach.
+ */
 import type { Heartbeat } from "../../protocol/model.js";
+import type { Grant } from "../../protocol/peers/messages.js";
 
-/** A node this far behind sends workers on to nodes that keep up. */
-const SLOW_MS = 400;
-/** The leader has other work; of workers it takes this share of what the others take, and less as it begins. */
+/** The leader has other work: of a controller's share of the workers it takes this part, and less as its term begins. */
 const LEADER_SHARE = 0.5;
 const NEW_LEADER_SHARE = 0.1;
 /** A controller with fewer workers than this is sent one at a time: perhaps they don't reach it. */
-const FEW_MACHINES = 5;
-const TRICKLE_MS = 250;
-/** A worker waits so long for an answer at the least before it gives a controller up. */
-const ANSWER_MS = 3500;
+const FEW_WORKERS = 5;
+const FEW_WORKERS_INTERVAL_MS = 250;
+/** Workers that are known here, and so are redirected for balance alone, are redirected this far apart. */
+const KNOWN_WORKER_INTERVAL_MS = 30;
+/** The shortest time that a worker waits for a response before it tries another controller. */
+const WORKER_TIMEOUT_MS = 3500;
+/** A worker that is back within so many of these times did not reach the controller; after more it says nothing. */
+const UNREACHED_WITHIN_TIMEOUTS = 4;
+const FORGET_AFTER_TIMEOUTS = 5;
+/** A controller that a worker did not reach is sent none for so long. */
 const UNREACHABLE_MS = 20_000;
-/** Workers that are sent on though they were here already are this far apart. */
-const MOVE_EVERY_MS = 30;
 
-/** What decides, beside the servers, where a worker should report. */
+/** A controller this far behind redirects workers to those that keep up, and is redirected none. */
+const SLOW_LAG_MS = 400;
+/** A slow controller redirects only to one that is so many times faster. */
+const FASTER_BY = 3;
+/**
+ * A controller has too many workers when they exceed its fair share by this factor and that number. New workers are
+ * redirected early, for they have to be served somewhere anyway; known ones only when others were away.
+ */
+const NEW_WORKER_EXCESS = { factor: 1.1, workers: 3 };
+const KNOWN_WORKER_EXCESS = { factor: 1.5, workers: 10 };
+/** A controller is redirected workers only while it has less than this part of its fair share. */
+const ROOM_FACTOR = 0.97;
+
+/** A controller that serves workers: its name, how many workers it has, how far it is behind. */
+type ServerLoad = Grant["servers"][number];
+
+/** What decides, beside the servers, which controller should serve a worker. */
 export interface BalancingFacts {
-  /** It has reported here before. */
+  /** A heartbeat of the worker has been acknowledged here before. */
   isKnown: boolean;
   leader: string | null;
   leaderIsNew: boolean;
+  /** How far this controller is behind. */
   lagMs: number;
   nowMs: number;
 }
 
-/** Spreads workers over the controllers that serve them: says which to send on, and where. */
+/** What the choice of a controller is made from. */
+export interface ServerChoice {
+  /** Name of this controller. */
+  node: string;
+  leader: string | null;
+  /** The part that the leader takes of a controller's share of the workers. */
+  leaderShare: number;
+  /** How far this controller is behind. */
+  lagMs: number;
+  /** The worker is served here already. */
+  isKnown: boolean;
+  /** This controller among them. */
+  servers: ServerLoad[];
+  /** The worker's. */
+  zone: string;
+  zoneOf: (node: string) => string;
+}
+
+/** Owns what this controller knows of the others as places for workers, and which workers it has redirected. */
 export class WorkerBalancer {
-  private servers: Grant["servers"] = [];
-  private nextMoveMs = -Infinity;
-  /** Where we sent workers, and when. */
+  private servers: ServerLoad[] = [];
+  /** Workers that are known here are redirected from then on. */
+  private nextKnownWorkerMs = -Infinity;
+  /** Workers are redirected to a controller with few workers from then on. */
+  private nextToFewMs = -Infinity;
+  /** Where workers were redirected to, and when. */
   private readonly redirected = new Map<string, { to: string; atMs: number }>();
-  /** Controllers that workers we sent did not reach, and until when we send none there. */
+  /** Controllers that redirected workers did not reach, and until when none is redirected there. */
   private readonly unreachable = new Map<string, number>();
-  /** When we may send the next one to a controller that hardly serves any. */
-  private nextTrickleMs = -Infinity;
 
   constructor(
     private readonly node: string,
@@ -42,55 +84,61 @@
     private readonly zones: ReadonlyMap<string, string>,
   ) {}
 
-  /** Who serves workers at present, and how many. */
-  setServers(servers: Grant["servers"]): void {
+  /** Sets the controllers that serve workers at present. */
+  setServers(servers: ServerLoad[]): void {
     this.servers = servers;
   }
 
-  /** Another controller that this worker should go to; null: stay. */
-  redirectTarget(report: Heartbeat, facts: BalancingFacts): string | null {
-    const { nowMs } = facts;
-    // Moving costs a report: whoever is here goes only a few at a time.
-    if (facts.isKnown && nowMs < this.nextMoveMs) return null;
+  /** Another controller that this worker should go to, counted as redirected there; null: it stays. */
+  redirectTarget(heartbeat: Heartbeat, facts: BalancingFacts): string | null {
+    const { nowMs, isKnown } = facts;
+    // A redirect costs a heartbeat: known workers are moved a few at a time.
+    if (isKnown && nowMs < this.nextKnownWorkerMs) return null;
     const to = chooseServer({
       node: this.node,
       leader: facts.leader,
       leaderShare: facts.leaderIsNew ? NEW_LEADER_SHARE : LEADER_SHARE,
       lagMs: facts.lagMs,
-      isKnown: facts.isKnown,
+      isKnown,
       servers: this.reachableServers(nowMs),
-      zone: report.zone,
+      zone: heartbeat.zone,
       zoneOf: (node) => this.zones.get(node) ?? "",
     });
     if (to === null) return null;
-    if ((this.servers.find((server) => server.node === to)?.machines ?? 0) < FEW_MACHINES) {
-      if (nowMs < this.nextTrickleMs) return null;
-      this.nextTrickleMs = nowMs + TRICKLE_MS;
+    if (this.workersAt(to) < FEW_WORKERS) {
+      if (nowMs < this.nextToFewMs) return null;
+      this.nextToFewMs = nowMs + FEW_WORKERS_INTERVAL_MS;
     }
-    if (facts.isKnown) this.nextMoveMs = nowMs + MOVE_EVERY_MS;
-    this.noteRedirect(report.machine, to, nowMs);
+    if (isKnown) this.nextKnownWorkerMs = nowMs + KNOWN_WORKER_INTERVAL_MS;
+    this.noteRedirect(heartbeat.machine, to, nowMs);
     return to;
   }
 
   /**
-   * Granted, and cut off from the workers alone, a controller has ever fewer of them: the lightest, to which everybody
-   * would send theirs, to wait there for an answer while their leases run out. Who comes back after such a wait has not
-   * reached it.
+   * A worker's heartbeat has arrived; perhaps it was redirected and is back. A controller with a grant that is cut off from
+   * the workers alone has ever fewer of them: the lightest, to which everybody would redirect theirs, to wait there for a
+   * response while their leases run out. A worker that is back after such a wait has not reached it.
    */
   noteReturn(machine: string, nowMs: number): void {
-    const sent = this.redirected.get(machine);
-    if (!sent) return;
+    const redirect = this.redirected.get(machine);
+    if (!redirect) return;
     this.redirected.delete(machine);
-    const awayMs = nowMs - sent.atMs;
-    if (awayMs > ANSWER_MS && awayMs < 4 * ANSWER_MS) this.unreachable.set(sent.to, nowMs + UNREACHABLE_MS);
+    const awayMs = nowMs - redirect.atMs;
+    if (awayMs > WORKER_TIMEOUT_MS && awayMs < UNREACHED_WITHIN_TIMEOUTS * WORKER_TIMEOUT_MS)
+      this.unreachable.set(redirect.to, nowMs + UNREACHABLE_MS);
   }
 
-  /** Workers sent on so long ago say nothing by coming back. */
+  /** Forgets redirects so long ago that the workers' return would say nothing. */
   forgetOld(nowMs: number): void {
-    for (const [machine, sent] of this.redirected)
-      if (nowMs - sent.atMs > 5 * ANSWER_MS) this.redirected.delete(machine);
+    for (const [machine, redirect] of this.redirected)
+      if (nowMs - redirect.atMs > FORGET_AFTER_TIMEOUTS * WORKER_TIMEOUT_MS) this.redirected.delete(machine);
   }
 
+  private workersAt(node: string): number {
+    return this.servers.find((server) => server.node === node)?.machines ?? 0;
+  }
+
+  /** Until the next grant brings new numbers, the redirected workers are counted here. */
   private noteRedirect(machine: string, to: string, nowMs: number): void {
     this.redirected.set(machine, { to, atMs: nowMs });
     for (const server of this.servers) {
@@ -99,7 +147,7 @@
     }
   }
 
-  private reachableServers(nowMs: number): Grant["servers"] {
+  private reachableServers(nowMs: number): ServerLoad[] {
     if (this.unreachable.size === 0) return this.servers;
     return this.servers.filter((server) => !this.isUnreachable(server.node, nowMs));
   }
@@ -114,45 +162,56 @@
 }
 
 /**
- * Where a worker that reports here should go instead; null: it stays. New ones go where there is room as soon as we have
- * a little more than our share; those that are here already when we have far more (the others may have been away), or
- * when we fall behind and another does not. Pure.
+ * The controller that a worker should go to; null: it stays here. New workers go where there is room as soon as this
+ * controller has a little more than its share; known ones when it has far more (the others may have been away), or when it
+ * is behind and another one is not. Pure.
  */
-export function chooseServer(facts: {
-  node: string;
-  leader: string | null;
-  /** Of a controller's share of the workers, the leader's. */
-  leaderShare: number;
-  lagMs: number;
-  isKnown: boolean;
-  servers: Grant["servers"];
-  /** The worker's. */
-  zone: string;
-  zoneOf: (node: string) => string;
-}): string | null {
-  // In their own zone, where there are controllers, so that a cut between zones takes nobody's controller away.
-  const near = facts.servers.filter((server) => facts.zoneOf(server.node) === facts.zone);
-  const servers = near.length > 0 ? near : facts.servers;
-  const share = (node: string): number => (node === facts.leader ? facts.leaderShare : 1);
-  let total = 0;
-  let weight = 0;
-  let mine: Grant["servers"][number] | null = null;
-  let best: Grant["servers"][number] | null = null;
-  for (const server of servers) {
-    total += server.machines;
-    weight += share(server.node);
-    if (server.node === facts.node) mine = server;
-    else if (
-      server.lagMs <= SLOW_MS &&
-      (!best || server.machines / share(server.node) < best.machines / share(best.node))
-    )
-      best = server;
+export function chooseServer(choice: ServerChoice): string | null {
+  // Workers stay in their own zone where it has controllers, so that a partition between zones separates none from its
+  // controller.
+  const inZone = choice.servers.filter((server) => choice.zoneOf(server.node) === choice.zone);
+  const candidates = inZone.length > 0 ? inZone : choice.servers;
+  const lightest = lightestOther(candidates, choice);
+  if (!lightest) return null;
+  const isInOtherZone = inZone.length > 0 && choice.zoneOf(choice.node) !== choice.zone;
+  if (isInOtherZone) return lightest.node;
+  const own = candidates.find((server) => server.node === choice.node);
+  if (!own) return null;
+  if (choice.lagMs > SLOW_LAG_MS) return choice.lagMs >= lightest.lagMs * FASTER_BY ? lightest.node : null;
+  const wholeShare = wholeShareOf(candidates, choice);
+  const ownShare = wholeShare * shareOf(own.node, choice);
+  const excess = choice.isKnown ? KNOWN_WORKER_EXCESS : NEW_WORKER_EXCESS;
+  const hasTooMany = own.machines > ownShare * excess.factor + excess.workers;
+  const hasRoom = lightest.machines < wholeShare * shareOf(lightest.node, choice) * ROOM_FACTOR;
+  return hasTooMany && hasRoom ? lightest.node : null;
+}
+
+/** The other controller that keeps up and has the fewest workers for its share. */
+function lightestOther(candidates: ServerLoad[], choice: ServerChoice): ServerLoad | null {
+  let lightest: ServerLoad | null = null;
+  let lightestLoad = Infinity;
+  for (const server of candidates) {
+    if (server.node === choice.node || server.lagMs > SLOW_LAG_MS) continue;
+    const load = server.machines / shareOf(server.node, choice);
+    if (lightest && load >= lightestLoad) continue;
+    lightest = server;
+    lightestLoad = load;
+  }
+  return lightest;
+}
+
+/** The part of a controller's share of the workers that this one takes. */
+function shareOf(node: string, choice: ServerChoice): number {
+  return node === choice.leader ? choice.leaderShare : 1;
+}
+
+/** How many workers a controller has that takes a whole share, when they are spread evenly. */
+function wholeShareOf(candidates: ServerLoad[], choice: ServerChoice): number {
+  let workers = 0;
+  let shares = 0;
+  for (const server of candidates) {
+    workers += server.machines;
+    shares += shareOf(server.node, choice);
   }
-  if (best && near.length > 0 && facts.zoneOf(facts.node) !== facts.zone) return best.node;
-  if (!best || !mine) return null;
-  const fair = total / weight;
-  if (facts.lagMs > SLOW_MS) return facts.lagMs >= best.lagMs * 3 ? best.node : null;
-  const heavy =
-    mine.machines > fair * share(mine.node) * (facts.isKnown ? 1.5 : 1.1) + (facts.isKnown ? 10 : 3);
-  return heavy && best.machines < fair * share(best.node) * 0.97 ? best.node : null;
+  return workers / shares;
 }
