--- a/src/coordination/commands/commandBatch.ts
+++ b/src/coordination/commands/commandBatch.ts
@@ -1,21 +1,25 @@
-import type { Command } from "../../protocol/model.js";
-import type { Job, Machine } from "../../bookkeeping/workload.js";
+/** Composes the commands that a machine's worker is due, under which fencing token. */
+import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
+import type { Command, TaskStatus } from "../../protocol/model.js";
 
+/** The commands of one delivery, and the fencing token that all of them carry. */
 export interface CommandBatch {
   token: number;
   commands: Command[];
 }
 
-/** Time that a start sent straight to a worker is given before the next report's answer repeats it. */
+/** A start command is sent again after this, unless a heartbeat has shown its effect. */
 const REPEAT_START_MS = 1200;
 const REPEAT_STOP_MS = 600;
 
 /**
- * What a worker has to be told now, and under which token. Called right before sending: it notes what is sent.
+ * What has to be sent to a machine now. Called right before sending: it marks on the machine and its attempts what is sent
+ * (`sentToken`, `sentEpoch`, `sentMs`, `lastStartToken`, `stop.sent`), for the proofs that a task is gone rely on knowing
+ * every start command that may be under way.
  *
- * After a `reap` the worker has forgotten the attempt, and a copy of its start still on the way would run it
- * again (rule `ran_twice`). So a batch that reaps carries a token above that of every start sent before:
- * whatever is still on the way is refused from then on.
+ * After a `reap` the worker has forgotten the attempt, and a copy of its start command still under way would run it again
+ * (rule `ran_twice`). So a batch that reaps carries a token above that of every start command sent before: whatever is
+ * still under way is refused from then on. `raise` asks for such a token in any case; `starts`: start commands may be sent.
  */
 export function composeCommandBatch(
   machine: Machine,
@@ -24,44 +28,77 @@
   options: { starts: boolean; raise: boolean },
 ): CommandBatch {
   const commands: Command[] = [];
-  let reaps = false;
-  for (const t of machine.listedTasks) {
-    const { jobId, task, attempt } = t;
+  const hasReaps = addCommandsForStrayTasks(commands, machine, jobs);
+  addDueStops(commands, machine, nowMs);
+  // Before the starts: they carry the new token already.
+  if (options.raise || (hasReaps && machine.lastStartToken >= machine.fencingToken))
+    machine.fencingToken = Math.max(machine.fencingToken, machine.lastStartToken) + 1;
+  if (options.starts) addDueStarts(commands, machine, nowMs);
+  return { token: machine.fencingToken, commands };
+}
+
+/** Stops or reaps the listed tasks that are no attempt of the machine's; true when any is reaped. */
+function addCommandsForStrayTasks(
+  commands: Command[],
+  machine: Machine,
+  jobs: ReadonlyMap<string, Job>,
+): boolean {
+  let hasReaps = false;
+  for (const status of machine.listedTasks) {
+    const { jobId, task, attempt } = status;
     const job = jobs.get(jobId);
-    const a = job?.attemptOf(task);
-    const ours = a !== undefined && a.number === attempt && a.machine === machine;
-    if (ours) continue;
-    if (t.phase !== "exited") {
-      // Nobody's: its job is over, or another attempt has taken its place.
+    const current = job?.attemptOf(task);
+    if (current !== undefined && current.number === attempt && current.machine === machine) continue;
+    if (status.phase !== "exited") {
+      // Its job is finished or cancelled, or another attempt has replaced it.
       commands.push({ op: "stop", jobId, task, attempt, graceS: 0 });
-      continue;
+    } else if (mayReap(status, job)) {
+      commands.push({ op: "reap", jobId, task, attempt });
+      hasReaps = true;
     }
-    // A result is reaped only once it is durable.
-    if (t.cause === "done" && job && !job.isCancelled && !job.isDurablyDone(task)) continue;
-    commands.push({ op: "reap", jobId, task, attempt });
-    reaps = true;
   }
-  for (const a of machine.attempts) {
-    if (a.stop && (a.sentToken >= 0 || a.isInherited)) {
-      if (a.stop.sent && nowMs - a.stop.lastSentMs < REPEAT_STOP_MS) continue;
-      a.stop.sent = true;
-      a.stop.lastSentMs = nowMs;
-      commands.push({ op: "stop", jobId: a.job.id, task: a.task, attempt: a.number, graceS: a.stop.graceS });
-    }
+  return hasReaps;
+}
+
+/** A result is reaped only once it is durable: until then the worker's list is the only copy. */
+function mayReap(status: TaskStatus, job: Job | undefined): boolean {
+  if (status.cause !== "done" || !job || job.isCancelled) return true;
+  return job.isDurablyDone(status.task);
+}
+
+/** Stops the attempts that have to end, and marks their stops as sent. One whose start was never sent needs none. */
+function addDueStops(commands: Command[], machine: Machine, nowMs: number): void {
+  for (const attempt of machine.attempts) {
+    const { stop } = attempt;
+    if (!stop || (attempt.sentToken < 0 && !attempt.isInherited)) continue;
+    if (stop.sent && nowMs - stop.lastSentMs < REPEAT_STOP_MS) continue;
+    stop.sent = true;
+    stop.lastSentMs = nowMs;
+    commands.push({
+      op: "stop",
+      jobId: attempt.job.id,
+      task: attempt.task,
+      attempt: attempt.number,
+      graceS: stop.graceS,
+    });
   }
-  if (options.raise || (reaps && machine.lastStartToken >= machine.fencingToken))
-    machine.fencingToken = Math.max(machine.fencingToken, machine.lastStartToken) + 1;
-  if (options.starts) {
-    for (const a of machine.attempts) {
-      // Intent before command: only what is durable is sent.
-      if (!a.isDurable || a.stop || a.phase !== null || a.isInherited) continue;
-      if (a.sentToken >= 0 && (a.sentEpoch !== machine.epoch || nowMs - a.sentMs < REPEAT_START_MS)) continue;
-      a.sentToken = machine.fencingToken;
-      a.sentEpoch = machine.epoch;
-      a.sentMs = nowMs;
-      machine.lastStartToken = machine.fencingToken;
-      commands.push({ op: "start", jobId: a.job.id, task: a.task, attempt: a.number });
-    }
+}
+
+/** Starts the attempts that are due, and marks their starts as sent under the machine's token and epoch. */
+function addDueStarts(commands: Command[], machine: Machine, nowMs: number): void {
+  for (const attempt of machine.attempts) {
+    if (!isStartDue(attempt, machine, nowMs)) continue;
+    attempt.sentToken = machine.fencingToken;
+    attempt.sentEpoch = machine.epoch;
+    attempt.sentMs = nowMs;
+    machine.lastStartToken = machine.fencingToken;
+    commands.push({ op: "start", jobId: attempt.job.id, task: attempt.task, attempt: attempt.number });
   }
-  return { token: machine.fencingToken, commands };
+}
+
+function isStartDue(attempt: Attempt, machine: Machine, nowMs: number): boolean {
+  // Intent before command: only what is durable is sent.
+  if (!attempt.isDurable || attempt.stop || attempt.phase !== null || attempt.isInherited) return false;
+  if (attempt.sentToken < 0) return true;
+  return attempt.sentEpoch === machine.epoch && nowMs - attempt.sentMs >= REPEAT_START_MS;
 }
--- a/src/coordination/commands/commandDeliveries.ts
+++ b/src/coordination/commands/commandDeliveries.ts
@@ -1,3 +1,4 @@
+/** The leader's side of commands: which machine is sent a batch now, which has to wait, and which got no response. */
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { CommandDelivery } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
@@ -6,11 +7,11 @@
 import type { TermLease } from "../term/termLease.js";
 import { composeCommandBatch, type CommandBatch } from "./commandBatch.js";
 
-/** A machine that has to show that it is reachable is asked this often. */
+/** A machine that has to show that it is reachable is sent a delivery this often, with commands or without. */
 export const PROBE_MS = 1500;
-/** Ended tasks are reaped this often at the most, unless there is more to send. */
+/** Exited tasks are reaped this often at the most, unless there is more to send. */
 export const REAP_MS = 3000;
-/** A delivery that another controller carries is given up after this. */
+/** A delivery without a result is given up after this: the controller that carries it may be gone. */
 const DELIVERY_TIMEOUT_MS = 4500;
 
 /** What the deliveries use of the term. */
@@ -22,25 +23,27 @@
   deliver: (term: number, via: string | null, delivery: CommandDelivery) => void;
 }
 
-/** Owns the deliveries of commands under way: one at a time to each machine, the next when that one is back. */
+/** Owns the deliveries of commands under way: one at a time to each machine, the next one after its result. */
 export class CommandDeliveries implements CommandQueue {
   /** Machines with a delivery under way, and since when. */
   private readonly underWay = new Map<string, number>();
-  /** Machines with more to be sent once their delivery is back; true: under a higher fencing token. */
-  private readonly waiting = new Map<string, boolean>();
-  /** Machines whose last delivery got no answer: the next one goes from here. */
+  /** Machines whose next commands, after the delivery under way, need a higher fencing token. */
+  private readonly raiseNext = new Set<string>();
+  /** Machines whose last delivery got no response: the next one goes from here. */
   private readonly directNext = new Set<string>();
 
   constructor(private readonly context: CommandDeliveriesContext) {}
 
+  /** Is a delivery to that machine under way? Another one has to wait for it. */
   isUnderWay(machine: string): boolean {
     return this.underWay.has(machine);
   }
 
+  /** Sends the commands that are due, unless a delivery is under way; with `raiseToken` under a higher fencing token. */
   sendCommands(machine: Machine, raiseToken = false): void {
     if (machine.state !== "up" || machine.address === "") return;
     if (this.underWay.has(machine.name)) {
-      this.waiting.set(machine.name, raiseToken || this.waiting.get(machine.name) === true);
+      if (raiseToken) this.raiseNext.add(machine.name);
       return;
     }
     const { clock, lease, jobs } = this.context;
@@ -48,8 +51,8 @@
     if (!lease.isLoaded || nowMs >= lease.acknowledgeUntilMs) return;
     const starts = lease.mayWrite() && machine.isReachable;
     const batch = composeCommandBatch(machine, jobs.byId, nowMs, { starts, raise: raiseToken });
-    const probe = !machine.isReachable && nowMs - machine.lastProbeMs > PROBE_MS;
-    if (!raiseToken && !probe && !isWorthSending(batch, machine, nowMs)) return;
+    const isProbeDue = !machine.isReachable && nowMs - machine.lastProbeMs > PROBE_MS;
+    if (!raiseToken && !isProbeDue && !isWorthSending(batch, machine, nowMs)) return;
     machine.lastProbeMs = nowMs;
     this.send(machine, batch, nowMs);
   }
@@ -66,19 +69,17 @@
     });
   }
 
-  /** The delivery to that machine is back, or given up. */
+  /** The delivery to that machine has its result, or is given up. */
   markFinished(machine: string): void {
     this.underWay.delete(machine);
   }
 
-  /** Whether more was to be sent meanwhile, and if so whether under a higher fencing token; undefined: nothing was. */
-  takeWaiting(machine: string): boolean | undefined {
-    const raiseToken = this.waiting.get(machine);
-    this.waiting.delete(machine);
-    return raiseToken;
+  /** Do commands that had to wait for the last delivery need a higher fencing token? Asked once after each. */
+  takeRaiseNext(machine: string): boolean {
+    return this.raiseNext.delete(machine);
   }
 
-  /** The controller that carried the last delivery brought no answer: the next one goes from here. */
+  /** The last delivery got no response: the next one goes from here, not through another controller. */
   sendNextDirectly(machine: string): void {
     this.directNext.add(machine);
   }
@@ -92,7 +93,7 @@
   }
 }
 
-/** Ended tasks can be reaped together with what comes later. */
+/** Exited tasks can be reaped together with what comes later. */
 function isWorthSending(batch: CommandBatch, machine: Machine, nowMs: number): boolean {
   if (batch.commands.length === 0) return false;
   return nowMs - machine.lastProbeMs >= REAP_MS || batch.commands.some((command) => command.op !== "reap");
--- a/src/coordination/commands/commandSender.ts
+++ b/src/coordination/commands/commandSender.ts
@@ -1,20 +1,26 @@
+/** Sends deliveries of commands to workers over HTTP. */
 import type { CommandDelivery, DeliveryResult } from "../../protocol/model.js";
 import { decodeHeartbeat, DIRECT_COMMANDS_PATH, encodeDirectCommands } from "../../protocol/workers.js";
-import type { HttpCaller } from "../../transport/httpClient.js";
 import { Actor } from "../../transport/actor.js";
+import { type HttpCaller, NoResponseError } from "../../transport/httpClient.js";
 import { log } from "../../transport/log.js";
 
 type OnResult = (result: DeliveryResult) => void;
+
 type Message =
-  | { kind: "send"; delivery: CommandDelivery; back: OnResult }
-  | { kind: "back"; result: DeliveryResult; back: OnResult };
+  /** Send the delivery; `onResult` is called exactly once. */
+  | { kind: "deliver"; delivery: CommandDelivery; onResult: OnResult }
+  /** The HTTP request of a delivery has ended. */
+  | { kind: "finished"; result: DeliveryResult; onResult: OnResult };
 
-/** Carries commands straight to workers. One delivery at a time to each machine. */
+/** Owns the requests to workers that are under way: at most one to each machine. */
 export class CommandSender extends Actor<Message> {
+  /** Machines with a request under way. */
   private readonly busy = new Set<string>();
 
   constructor(
     private readonly http: HttpCaller,
+    /** A request without a response is given up after this. */
     private readonly timeoutMs: number,
   ) {
     super("command sender");
@@ -25,37 +31,40 @@
   }
 
   protected override handle(message: Message): void {
-    if (message.kind === "back") {
-      this.busy.delete(message.result.machine);
-      message.back(message.result);
-      return;
+    switch (message.kind) {
+      case "deliver":
+        this.deliver(message.delivery, message.onResult);
+        break;
+      case "finished":
+        this.busy.delete(message.result.machine);
+        message.onResult(message.result);
+        break;
     }
-    const { delivery, back } = message;
+  }
+
+  private deliver(delivery: CommandDelivery, onResult: OnResult): void {
     const { machine, fencingToken } = delivery;
     if (this.busy.has(machine)) {
-      // The sender keeps to one delivery a machine; a second one was never sent.
-      back({ machine, fencingToken: fencingToken, status: null, neverSent: true, heartbeat: null });
+      // The leader keeps to one delivery for each machine; a second one, of another leader perhaps, is not sent.
+      onResult(withoutResponse(delivery, true));
       return;
     }
     this.busy.add(machine);
     const body = encodeDirectCommands(fencingToken, delivery.epoch, delivery.commands);
     this.http.call(delivery.address, "POST", DIRECT_COMMANDS_PATH, body, this.timeoutMs).then(
-      (reply) => {
-        const heartbeat = decodeHeartbeat(reply.body);
-        this.tell({
-          kind: "back",
-          back,
-          result: { machine, fencingToken: fencingToken, status: reply.status, neverSent: false, heartbeat },
-        });
+      (response) => {
+        const heartbeat = decodeHeartbeat(response.body);
+        const result = { machine, fencingToken, status: response.status, neverSent: false, heartbeat };
+        this.tell({ kind: "finished", result, onResult });
       },
-      (error: { neverSent?: boolean }) => {
-        const neverSent = error.neverSent === true;
-        this.tell({
-          kind: "back",
-          back,
-          result: { machine, fencingToken: fencingToken, status: null, neverSent, heartbeat: null },
-        });
+      (error: unknown) => {
+        const neverSent = error instanceof NoResponseError && error.neverSent;
+        this.tell({ kind: "finished", result: withoutResponse(delivery, neverSent), onResult });
       },
     );
   }
 }
+
+function withoutResponse({ machine, fencingToken }: CommandDelivery, neverSent: boolean): DeliveryResult {
+  return { machine, fencingToken, status: null, neverSent, heartbeat: null };
+}
--- a/src/coordination/machines/cordon.ts
+++ b/src/coordination/machines/cordon.ts
@@ -1,3 +1,4 @@
+/** Cordons: machines that get no new work, since they fail what they start or will be interrupted. */
 import type { Attempt, Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
@@ -6,9 +7,9 @@
 import type { Attempts } from "../term/attempts.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 
-/** A faulty machine that still holds work is tried again after this. */
-const FAULTY_MS = 90_000;
-/** Part of the time until an interruption in which a task should be over to be left alone: estimates are often too low. */
+/** A faulty machine is tried again after this; without work it is scaled in before. */
+const FAULTY_CORDON_MS = 90_000;
+/** A task is left alone if it should end within this part of the time until an interruption: estimates are often too low. */
 const SAFE_PART_OF_NOTICE = 0.6;
 
 /** What cordoning uses of the term. */
@@ -24,20 +25,23 @@
   constructor(private readonly context: CordonContext) {}
 
   /**
-   * A machine on which jobs fail that run well elsewhere, or several jobs and nothing succeeds, is faulty. It gets no
-   * new work; what runs there already goes on, for such a machine fails only what it starts.
+   * Cordons a machine on which jobs fail that run well elsewhere, or on which several jobs fail and none succeeds. What
+   * runs there goes on, for such a machine fails only what it starts; what has not started yet leaves.
    */
   cordonIfFaulty(machine: Machine): void {
     if (machine.isCordoned || !machineLooksFaulty(machine, this.context.jobs.byId)) return;
     cordon(machine, "fails what it starts");
-    machine.cordonUntilMs = this.context.clock.nowMs() + FAULTY_MS;
+    machine.cordonUntilMs = this.context.clock.nowMs() + FAULTY_CORDON_MS;
     machine.consecutiveFailures.clear();
     for (const attempt of [...machine.attempts])
       if (attempt.phase === null || attempt.phase === "fetching")
         this.context.attempts.stopGracefully(attempt);
   }
 
-  /** The cloud is about to interrupt it: what can write a checkpoint does so now, what can't end in time leaves. */
+  /**
+   * Cordons a machine that the cloud has announced to interrupt, and stops what would not end in time, while there is still
+   * time for checkpoints.
+   */
   drainBeforeInterruption(machine: Machine): void {
     cordon(machine, "the cloud takes it");
     const nowMs = this.context.clock.nowMs();
@@ -46,7 +50,7 @@
       if (!this.endsInTime(attempt, noticeS, nowMs)) this.context.attempts.stopGracefully(attempt);
   }
 
-  /** A running task without checkpoints that should be over well before the interruption. */
+  /** Should a running array task without checkpoints be over well before the interruption? All other tasks are stopped. */
   private endsInTime(attempt: Attempt, noticeS: number, nowMs: number): boolean {
     const { spec } = attempt.job;
     if (spec.kind !== "array" || spec.checkpointS !== 0 || attempt.phase !== "running") return false;
@@ -56,7 +60,7 @@
   }
 }
 
-/** Ends a cordon whose time is over. */
+/** Uncordons a machine whose cordon has expired. */
 export function liftExpiredCordon(machine: Machine, nowMs: number): void {
   if (machine.isCordoned && nowMs > machine.cordonUntilMs) machine.isCordoned = false;
 }
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -1,3 +1,4 @@
+/** What a worker's heartbeat changes on the leader's picture of its machine. */
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { Heartbeat, ReceivedHeartbeat, UnchangedHeartbeat } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
@@ -9,9 +10,16 @@
 import type { CycleRequests } from "../term/cycleRequests.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { TermLease } from "../term/termLease.js";
+import { isLateCopy } from "../heartbeats/heartbeatComparison.js";
 import type { Cordon } from "./cordon.js";
 import type { Reconciliation } from "./reconciliation.js";
 
+/** A machine's first heartbeat has shown our token after so many of its intervals; only then it is probed. */
+const FIRST_PROBE_AFTER_HEARTBEATS = 1.5;
+/** Epoch and tick of the first heartbeat that a machine's worker ever sends. */
+const FIRST_EPOCH = 1;
+const FIRST_TICK = 1;
+
 /** What the processing of heartbeats uses of the term. */
 export interface HeartbeatProcessorContext {
   clock: Clock;
@@ -40,17 +48,21 @@
     const { lease, machines } = this.context;
     if (machines.isRemoved(heartbeat.machine)) return;
     const machine = machines.getOrCreate(heartbeat.machine, heartbeat.zone);
-    // The answer it has just been given carries our token, and its next heartbeat shows it: no need to ask at once.
-    if (machine.heartbeatTick === 0) machine.lastProbeMs = nowMs + this.context.heartbeatS * 1500 - PROBE_MS;
-    const isFirst = machine.state === "booting" && heartbeat.epoch === 1 && heartbeat.tick === 1;
-    const fresh = this.apply(machine, heartbeat, nowMs);
+    // The response to it carried our token, and its next heartbeat shows that: no need to probe it at once.
+    if (machine.heartbeatTick === 0) {
+      const firstProbeMs = FIRST_PROBE_AFTER_HEARTBEATS * 1000 * this.context.heartbeatS;
+      machine.lastProbeMs = nowMs + firstProbeMs - PROBE_MS;
+    }
+    const isVeryFirst =
+      machine.state === "booting" && heartbeat.epoch === FIRST_EPOCH && heartbeat.tick === FIRST_TICK;
+    const isFresh = this.apply(machine, heartbeat, nowMs);
     noteAcknowledged(machine, heartbeat, server, nowMs, nowMs - ageMs);
-    // A machine that we have waited for, and its very first heartbeat: nothing older can be on its way.
-    if (isFirst && machine.createdMs >= lease.startedMs) machine.requiredToken = 0;
-    if (lease.isLoaded && fresh) this.reconcileAndSend(machine);
+    // The machine was created in this term, so no copy of an older heartbeat can be under way: it proves itself reachable.
+    if (isVeryFirst && machine.createdMs >= lease.startedMs) machine.requiredToken = 0;
+    if (lease.isLoaded && isFresh) this.reconcileAndSend(machine);
   }
 
-  /** A heartbeat that says nothing new; false when it is of an epoch that is not known here, so that it must be sent in full. */
+  /** A heartbeat that says nothing new; false: its epoch is not known here, so that it has to be sent in full. */
   receiveUnchanged(heartbeat: UnchangedHeartbeat, server: string, nowMs: number): boolean {
     const { machines } = this.context;
     const machine = machines.get(heartbeat.machine);
@@ -59,7 +71,7 @@
     return true;
   }
 
-  /** True when the worker has seen a later term's fencing token; then this leader is deposed. */
+  /** Has the worker seen a later term's fencing token? Then this leader is deposed, which is announced here. */
   isOfLaterTerm(heartbeat: Heartbeat): boolean {
     const { term } = this.context.lease;
     if (heartbeat.fencingToken < firstFencingToken(term + 1)) return false;
@@ -77,12 +89,9 @@
     this.context.commands.sendCommands(machine, raiseToken);
   }
 
-  /** Takes over what a heartbeat says of the machine itself; false when a newer one is known. */
+  /** Applies what a heartbeat, or a worker's response to commands, says of the machine itself; false: a newer one is known. */
   apply(machine: Machine, heartbeat: Heartbeat, nowMs: number): boolean {
-    const isOlder =
-      heartbeat.epoch < machine.epoch ||
-      (heartbeat.epoch === machine.epoch && heartbeat.tick <= machine.tick);
-    if (isOlder) return false;
+    if (isLateCopy(machine, heartbeat)) return false;
     if (heartbeat.epoch > machine.epoch) beginEpoch(machine, heartbeat.epoch, nowMs);
     machine.tick = heartbeat.tick;
     machine.seenToken = heartbeat.fencingToken;
@@ -93,7 +102,7 @@
     machine.listedTasks = heartbeat.tasks;
     const wasUnusable =
       machine.state === "booting" || nowMs - machine.lastContactMs > this.context.suspectS * 1000;
-    // Its idle time begins when it can be used (again): neither its boot nor its silence counts.
+    // Its idle time begins when it can be used (again): neither its boot nor its silence counts as idle.
     if (machine.attempts.size === 0 && wasUnusable) machine.idleSinceMs = nowMs;
     if (machine.state === "booting") this.markUp(machine, heartbeat.type, nowMs);
     if (heartbeat.interruptionNoticeS !== null)
@@ -122,16 +131,16 @@
 function beginEpoch(machine: Machine, epoch: number, nowMs: number): void {
   if (machine.epoch > 0) {
     log.info(`${machine.name}: epoch ${epoch}, its tasks are gone`);
-    // Its heartbeats arrive, and its lease expired all the same: perhaps our answers don't reach it.
+    // Its heartbeats arrive, and its lease expired all the same: perhaps our responses don't reach it.
     machine.requireNewToken(nowMs);
   }
-  // An epoch's lease runs from its beginning, also when none of its heartbeats was answered yet. Counted from an older
-  // answer, a task started in the new epoch looked gone while it ran (rule `ran_twice`, docs/incidents/overload.md).
+  // An epoch's lease runs from its beginning, also when none of its heartbeats was acknowledged yet. Counted from an older
+  // acknowledgement, a task of the new epoch looked gone while it ran (rule `ran_twice`, docs/incidents/overload.md).
   machine.lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, nowMs);
   machine.epoch = epoch;
 }
 
-/** A heartbeat of the machine was acknowledged. An older one, or a copy, renews nothing and proves nothing. */
+/** A controller has acknowledged that heartbeat. An older one, or a copy, renews no lease. */
 function noteAcknowledged(
   machine: Machine,
   heartbeat: { epoch: number; tick: number },
@@ -144,11 +153,11 @@
   if (epoch === machine.heartbeatEpoch && tick <= machine.heartbeatTick) return;
   machine.heartbeatEpoch = epoch;
   machine.heartbeatTick = tick;
-  // It was acknowledged before now, and what it answers was sent before that.
+  // It was acknowledged before now: taken for now, no lease is counted too short.
   machine.lastAcknowledgedMs = nowMs;
   machine.lastContactMs = Math.max(machine.lastContactMs, receivedMs);
   machine.lastHeartbeatMs = Math.max(machine.lastHeartbeatMs, receivedMs);
   machine.heartbeatServer = server;
-  // `machine.tick` stays: it is that of the tasks that are known. Raised by a heartbeat without news, it made the one that
-  // had been lost on the way look old when it was sent again, and its jobs were never done.
+  // `machine.tick` stays: it belongs to the listed tasks that are known. Raised by an unchanged heartbeat, it made the one
+  // that had been lost on its way look old when it was sent again, and its jobs were never done.
 }
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -12,9 +12,10 @@
     private readonly leaseS: number,
   ) {}
 
+  /** Has the worker's lease certainly expired, whichever controller may have acknowledged its heartbeats? */
   hasExpired(machine: Machine, nowMs: number): boolean {
     const { earlierLeadersSilentFromMs } = this.lease;
-    // Nobody of an earlier term can have renewed it after that.
+    // No leader of an earlier term can have renewed it after that.
     const lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, earlierLeadersSilentFromMs);
     if (nowMs < leaseExpiredFromMs(lastAcknowledgedMs, this.leaseS)) return false;
     const facts = this.servers.acknowledgementFacts(machine.zone, earlierLeadersSilentFromMs);
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -1,3 +1,4 @@
+/** Reconciles the attempts that the leader has placed on a machine with the tasks that the machine lists. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { TaskStatus } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
@@ -14,13 +15,15 @@
 const AVOID_AFTER_ERROR_MS = 60_000;
 const AVOID_WITHOUT_ROOM_MS = 2000;
 const AVOID_IN_USE_MS = 3000;
-/** A job that the worker did not know is tried again after this. */
+/** A job that the worker could not look up is tried again after this. */
 const RETRY_UNKNOWN_MS = 1000;
-/** A job that fails again and again is tried less and less often: first after this, at the latest after that. */
+/** Exponential backoff of a job that fails again and again: the first pause, the longest one, and what makes it grow. */
 const FIRST_RETRY_MS = 100;
 const MAX_RETRY_MS = 15_000;
 const MAX_RETRY_DOUBLINGS = 8;
-/** A start that was sent longer ago than this and is not listed is asked about under a higher fencing token. */
+/** So many failures of a job count as bad luck and lengthen no pause. */
+const FREE_FAILURES = 2;
+/** A start that was sent longer ago than this, and whose task is not listed, needs a higher fencing token to settle it. */
 const LISTED_WITHIN_MS = 1000;
 
 /** What reconciliation uses of the term. */
@@ -35,23 +38,26 @@
 }
 
 /**
- * Squares what the leader has planned for a machine with what its newest heartbeat lists: attempts that are there, that
- * have ended, and that are proved gone by their absence (rule `ran_twice`).
+ * Compares a machine's attempts with its newest heartbeat: attempts that are listed, that have exited, and that are proved
+ * gone by their absence (rule `ran_twice`).
  */
 export class Reconciliation {
   constructor(private readonly context: ReconciliationContext) {}
 
-  /** Draws conclusions from the newest heartbeat; true when the next answer should carry a higher fencing token. */
+  /**
+   * Applies the newest heartbeat to the machine's attempts; true when only a heartbeat under a higher fencing token can
+   * settle what became of one, so that the next commands have to raise it.
+   */
   reconcile(machine: Machine): boolean {
     const listed = this.listedAttempts(machine);
     let raiseToken = false;
     for (const attempt of [...machine.attempts]) {
       const status = listed.get(attempt);
       if (!status) raiseToken = this.reconcileAbsent(attempt, machine) || raiseToken;
-      else if (status.phase === "exited") this.attemptExited(attempt, status);
-      else this.attemptSeen(attempt, status.phase);
+      else if (status.phase === "exited") this.reconcileExited(attempt, status);
+      else this.reconcilePresent(attempt, status.phase);
     }
-    this.takeOverResults(machine);
+    this.applyStrayResults(machine);
     return raiseToken;
   }
 
@@ -71,9 +77,9 @@
     const { clock, lease, attempts, commands } = this.context;
     const heartbeat = { epoch: machine.epoch, fencingToken: machine.seenToken };
     if (absenceProvesTaskGone(attempt, heartbeat, firstFencingToken(lease.term))) {
-      const neverSeen = attempt.phase === null && !attempt.stop;
-      if (!attempt.isInherited && neverSeen && attempt.sentEpoch === machine.epoch) {
-        // Certainly not there and never was: the same start may be sent anew.
+      const wasNeverListed = attempt.phase === null && !attempt.stop;
+      if (!attempt.isInherited && wasNeverListed && attempt.sentEpoch === machine.epoch) {
+        // The worker has certainly not received the start and refuses it from now on: it may be sent anew.
         attempt.sentToken = -1;
         commands.sendCommands(machine);
       } else attempts.markLost(attempt);
@@ -86,8 +92,8 @@
     return (attempt.isInherited || shouldBeListed) && attempt.sentToken >= machine.fencingToken;
   }
 
-  /** A result counts whichever attempt brought it. */
-  private takeOverResults(machine: Machine): void {
+  /** A result counts whichever attempt brought it, also one that has been replaced. */
+  private applyStrayResults(machine: Machine): void {
     for (const status of machine.listedTasks) {
       if (status.phase !== "exited" || status.cause !== "done") continue;
       const job = this.context.jobs.get(status.jobId);
@@ -96,11 +102,12 @@
     }
   }
 
-  private attemptSeen(attempt: Attempt, phase: Exclude<TaskStatus["phase"], "exited">): void {
+  /** The attempt is listed and has not exited. */
+  private reconcilePresent(attempt: Attempt, phase: Exclude<TaskStatus["phase"], "exited">): void {
     const { job, machine } = attempt;
     attempt.isInherited = false;
     if (attempt.sentToken < 0) {
-      // Started by an earlier leader: guard against that one's copies, too.
+      // Started by an earlier leader, whose start command may be under way a second time: under a token of its term.
       attempt.sentToken = firstFencingToken(this.context.lease.term) - 1;
       attempt.sentEpoch = machine.epoch;
     }
@@ -122,7 +129,8 @@
     );
   }
 
-  private attemptExited(attempt: Attempt, status: TaskStatus): void {
+  /** The attempt has exited: its place is free, and its result, or why it failed, is noted. */
+  private reconcileExited(attempt: Attempt, status: TaskStatus): void {
     const { job, machine } = attempt;
     const { attempts, estimates } = this.context;
     const nowMs = this.context.clock.nowMs();
@@ -142,7 +150,7 @@
   }
 }
 
-/** Notes on the job where and when it should be tried again. */
+/** Notes on the job where and when it may be tried again. */
 function noteFailure(job: Job, machine: Machine, cause: TaskStatus["cause"], nowMs: number): void {
   switch (cause) {
     case "error":
@@ -150,7 +158,7 @@
       job.failedOn.add(machine.name);
       machine.consecutiveFailures.set(job.id, (machine.consecutiveFailures.get(job.id) ?? 0) + 1);
       job.avoidedUntilMs.set(machine.name, nowMs + AVOID_AFTER_ERROR_MS);
-      // A job with a mistake fails everywhere: try it less and less often.
+      // A job with a mistake fails everywhere: it is tried less and less often.
       job.notBeforeMs = nowMs + retryDelayMs(job.failureCount);
       break;
     case "no_room":
@@ -162,13 +170,19 @@
     case "unknown":
       job.notBeforeMs = nowMs + RETRY_UNKNOWN_MS;
       break;
-    default:
+    // Stopped on request, or lost without its own or the machine's fault.
+    case "done":
+    case "stopped":
+    case "peers":
+    case "incomplete":
+    case "other":
+    case null:
       break;
   }
 }
 
-/** Pause before a job with so many errors is tried again: the first two errors count as bad luck. */
-function retryDelayMs(errors: number): number {
-  const doublings = Math.min(MAX_RETRY_DOUBLINGS, Math.max(0, errors - 2));
+/** Pause before a job with so many failures is tried again. */
+function retryDelayMs(failures: number): number {
+  const doublings = Math.min(MAX_RETRY_DOUBLINGS, Math.max(0, failures - FREE_FAILURES));
   return Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** doublings);
 }
