--- /dev/null
+++ b/test/commandBatch.test.ts
@@ -0,0 +1,191 @@
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import type { Attempt, Job } from "../src/bookkeeping/workload.js";
+import { composeCommandBatch } from "../src/coordination/commands/commandBatch.js";
+import { FIRST_TOKEN, listed, MachineTerm } from "./fakes/machineTerm.js";
+import type { TaskStatus } from "../src/protocol/model.js";
+
+const NOT_SENT = { sentToken: -1, sentEpoch: 0, sentMs: -Infinity };
+
+describe("an attempt's start command", () => {
+  const cases: {
+    name: string;
+    attempt: Partial<Attempt>;
+    epoch?: number;
+    sinceSentMs?: number;
+    isSent: boolean;
+  }[] = [
+    { name: "is sent once the attempt is durable", attempt: NOT_SENT, isSent: true },
+    { name: "is not sent before that", attempt: { ...NOT_SENT, isDurable: false }, isSent: false },
+    {
+      name: "is not sent for an attempt of an earlier leader",
+      attempt: { ...NOT_SENT, isInherited: true },
+      isSent: false,
+    },
+    {
+      name: "is not sent for an attempt that is listed",
+      attempt: { phase: "fetching" },
+      sinceSentMs: 9000,
+      isSent: false,
+    },
+    { name: "is not repeated at once", attempt: {}, sinceSentMs: 1199, isSent: false },
+    { name: "is repeated after a while", attempt: {}, sinceSentMs: 1200, isSent: true },
+    { name: "is not repeated in another epoch", attempt: {}, epoch: 2, sinceSentMs: 9000, isSent: false },
+  ];
+  for (const { name, attempt: change, epoch = 1, sinceSentMs = 0, isSent } of cases)
+    test(name, async () => {
+      const term = new MachineTerm();
+      const machine = term.machine();
+      const attempt = term.attempt(term.job(), machine, change);
+      machine.epoch = epoch;
+      await term.clock.advance(sinceSentMs);
+      const nowMs = term.clock.nowMs();
+      const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, { starts: true, raise: false });
+      const start = { op: "start", jobId: "job-1", task: 0, attempt: attempt.number };
+      assert.deepEqual(batch, { token: FIRST_TOKEN, commands: isSent ? [start] : [] });
+      if (!isSent) return;
+      assert.deepEqual([attempt.sentToken, attempt.sentEpoch, attempt.sentMs], [FIRST_TOKEN, epoch, nowMs]);
+      assert.equal(machine.lastStartToken, FIRST_TOKEN);
+    });
+
+  test("is not sent while starts may not be", () => {
+    const term = new MachineTerm();
+    const machine = term.machine();
+    const attempt = term.attempt(term.job(), machine, NOT_SENT);
+    const options = { starts: false, raise: false };
+    const batch = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
+    assert.deepEqual(batch.commands, []);
+    assert.equal(attempt.sentToken, -1);
+  });
+});
+
+describe("an attempt's stop command", () => {
+  const sinceMs = 0;
+  const cases: { name: string; sentMsAgo: number | null; attempt?: Partial<Attempt>; isSent: boolean }[] = [
+    { name: "is sent", sentMsAgo: null, isSent: true },
+    { name: "is not repeated at once", sentMsAgo: 599, isSent: false },
+    { name: "is repeated after a while", sentMsAgo: 600, isSent: true },
+    {
+      name: "is not needed when its start was never sent",
+      sentMsAgo: null,
+      attempt: NOT_SENT,
+      isSent: false,
+    },
+    {
+      name: "is needed when an earlier leader may have sent its start",
+      sentMsAgo: null,
+      attempt: { ...NOT_SENT, isInherited: true },
+      isSent: true,
+    },
+  ];
+  for (const { name, sentMsAgo, attempt: change, isSent } of cases)
+    test(name, () => {
+      const term = new MachineTerm();
+      const machine = term.machine();
+      const nowMs = term.clock.nowMs();
+      const lastSentMs = sentMsAgo === null ? -Infinity : nowMs - sentMsAgo;
+      const stop = { sinceMs, graceS: 4, sent: sentMsAgo !== null, lastSentMs };
+      const attempt = term.attempt(term.job(), machine, { ...change, stop });
+      const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, { starts: true, raise: false });
+      const command = { op: "stop", jobId: "job-1", task: 0, attempt: attempt.number, graceS: 4 };
+      assert.deepEqual(batch.commands, isSent ? [command] : []);
+      if (isSent) assert.deepEqual(attempt.stop, { ...stop, sent: true, lastSentMs: nowMs });
+    });
+});
+
+describe("a listed task that is no attempt of the machine's", () => {
+  const done: Partial<TaskStatus> = { phase: "exited", cause: "done" };
+  const failed: Partial<TaskStatus> = { phase: "exited", cause: "error" };
+  const markDurable = (job: Job): void => {
+    job.markDone(0);
+    job.chunkOf(0).load(job.chunkOf(0).done, 1);
+  };
+  const cases: {
+    name: string;
+    status: Partial<TaskStatus>;
+    prepare?: (job: Job) => void;
+    op: string | null;
+  }[] = [
+    { name: "is stopped when it runs", status: { phase: "running" }, op: "stop" },
+    { name: "is reaped when it failed", status: failed, op: "reap" },
+    {
+      name: "is not reaped while its result is not durable",
+      status: done,
+      prepare: (job) => void job.markDone(0),
+      op: null,
+    },
+    { name: "is reaped once its result is durable", status: done, prepare: markDurable, op: "reap" },
+    {
+      name: "is reaped when its job is cancelled",
+      status: done,
+      prepare: (job) => void (job.cancelledAt = new Date(0)),
+      op: "reap",
+    },
+    { name: "is reaped when its job is not known", status: { ...done, jobId: "job-9" }, op: "reap" },
+  ];
+  for (const { name, status, prepare, op } of cases)
+    test(name, () => {
+      const term = new MachineTerm();
+      const machine = term.machine();
+      const job = term.job();
+      const attempt = term.attempt(job, machine);
+      term.attempts.confirmGone(attempt);
+      prepare?.(job);
+      machine.listedTasks = [listed(attempt, status)];
+      const options = { starts: true, raise: false };
+      const { commands } = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
+      assert.deepEqual(
+        commands.map((command) => command.op),
+        op === null ? [] : [op],
+      );
+    });
+});
+
+describe("the token of a batch", () => {
+  const cases: { name: string; lastStartToken: number; reaps: boolean; raise: boolean; token: number }[] = [
+    {
+      name: "stays without reaps",
+      lastStartToken: FIRST_TOKEN,
+      reaps: false,
+      raise: false,
+      token: FIRST_TOKEN,
+    },
+    {
+      name: "exceeds that of the starts sent before, when it reaps",
+      lastStartToken: FIRST_TOKEN,
+      reaps: true,
+      raise: false,
+      token: FIRST_TOKEN + 1,
+    },
+    {
+      name: "stays when it reaps and no start was sent under it",
+      lastStartToken: FIRST_TOKEN - 1,
+      reaps: true,
+      raise: false,
+      token: FIRST_TOKEN,
+    },
+    { name: "is raised on request", lastStartToken: -1, reaps: false, raise: true, token: FIRST_TOKEN + 1 },
+    {
+      name: "is raised above the starts sent before, on request",
+      lastStartToken: FIRST_TOKEN + 4,
+      reaps: false,
+      raise: true,
+      token: FIRST_TOKEN + 5,
+    },
+  ];
+  for (const { name, lastStartToken, reaps, raise, token } of cases)
+    test(name, () => {
+      const term = new MachineTerm();
+      const machine = term.machine();
+      const job = term.job();
+      const exited = term.attempt(job, machine);
+      term.attempts.confirmGone(exited);
+      const next = term.attempt(job, machine, { ...NOT_SENT, task: 1 });
+      machine.lastStartToken = lastStartToken;
+      if (reaps) machine.listedTasks = [listed(exited, { phase: "exited", cause: "error" })];
+      const options = { starts: true, raise };
+      const batch = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
+      assert.equal(batch.token, token);
+      assert.equal(next.sentToken, token, "starts of the same batch carry it already");
+    });
+});
