--- a/test/acknowledgementLimits.test.ts
+++ b/test/acknowledgementLimits.test.ts
@@ -4,29 +4,35 @@
 import { AcknowledgementLimits } from "../src/coordination/heartbeats/acknowledgementLimits.js";
 import type { JobSpec } from "../src/protocol/model.js";
 
-test("a machine with a cancelled task that stays is left to its lease in time, others go on; a zone counts it", () => {
-  const bound = new AcknowledgementLimits({ cancelS: 37, leaseS: 12, clockErrorMs: 25 });
-  assert.equal(bound.untilMs, -Infinity, "nothing read yet, nothing acknowledged");
+test("a machine whose cancelled task stays is quarantined in time; before that its zone is limited, and others go on", () => {
+  const limits = new AcknowledgementLimits({ cancelS: 37, leaseS: 12, clockErrorMs: 25 });
+  assert.equal(limits.untilMs, -Infinity, "nothing is acknowledged before the records are read");
   const machine = (name: string, zone: string): Machine => new Machine(name, null, zone, false, 1, 0);
-  const [m1, m2] = [machine("m1", "a"), machine("m2", "b")];
-  const job = (cancelledAt: Date | null, ...on: Machine[]): Job => {
-    const j = new Job({ id: "job-1", tasks: 2 } as JobSpec, new Date(0), 1, cancelledAt, 0);
-    on.forEach((x) => j.attempts.add({ machine: x } as Attempt));
-    return j;
+  const [first, second] = [machine("m1", "a"), machine("m2", "b")];
+  const job = (cancelledAt: Date | null, ...machines: Machine[]): Job => {
+    const result = new Job({ id: "job-1", tasks: 2 } as JobSpec, new Date(0), 1, cancelledAt, 0);
+    for (const each of machines) result.attempts.add({ machine: each } as Attempt);
+    return result;
   };
-  const today = new Date(1_000_000_000);
-  const ago = (s: number): Date => new Date(today.getTime() - s * 1000);
-  const cases: [string, Job[], string[], [number, number]][] = [
-    ["nothing is cancelled", [job(null, m1, m2)], [], [123_960, 123_960]],
-    ["just now", [job(ago(0), m1)], [], [123_910, 123_960]],
-    ["ten seconds ago", [job(ago(10), m1), job(ago(1), m1)], [], [113_910, 123_960]],
-    ["a grant could outlast it", [job(ago(21.5), m1, m2)], ["m1", "m2"], [123_960, 123_960]],
-    ["long ago", [job(ago(100), m2), job(ago(3), m1)], ["m2"], [120_910, 123_960]],
+  const wallTime = new Date(1_000_000_000);
+  const ago = (seconds: number): Date => new Date(wallTime.getTime() - seconds * 1000);
+  const cases: [
+    name: string,
+    jobs: Job[],
+    quarantined: string[],
+    zoneLimitsMs: [first: number, second: number],
+  ][] = [
+    ["nothing is cancelled", [job(null, first, second)], [], [123_960, 123_960]],
+    ["just now", [job(ago(0), first)], [], [123_910, 123_960]],
+    ["ten seconds ago", [job(ago(10), first), job(ago(1), first)], [], [113_910, 123_960]],
+    ["a grant could outlast it", [job(ago(21.5), first, second)], ["m1", "m2"], [123_960, 123_960]],
+    ["long ago", [job(ago(100), second), job(ago(3), first)], ["m2"], [120_910, 123_960]],
     ["its tasks are gone", [job(ago(100))], [], [123_960, 123_960]],
   ];
-  for (const [name, jobs, quarantined, zones] of cases) {
-    bound.update(100_000, jobs, 100_000, today);
-    assert.deepEqual(bound.quarantined, quarantined, name);
-    ["a", "b"].forEach((z, i) => assert.ok(Math.abs(bound.zoneUntilMs(z) - zones[i]!) < 10, `${name}: ${z}`));
+  for (const [name, jobs, quarantined, zoneLimitsMs] of cases) {
+    limits.update(100_000, jobs, 100_000, wallTime);
+    assert.deepEqual(limits.quarantined, quarantined, name);
+    for (const [index, zone] of ["a", "b"].entries())
+      assert.ok(Math.abs(limits.zoneUntilMs(zone) - zoneLimitsMs[index]!) < 10, `${name}: ${zone}`);
   }
 });
--- a/test/confirmedCancellations.test.ts
+++ b/test/confirmedCancellations.test.ts
@@ -2,34 +2,38 @@
 import test from "node:test";
 import { ConfirmedCancellations } from "../src/coordination/heartbeats/confirmedCancellations.js";
 
-test("cancellations that were told are named until the leader has them, to each leader anew, and not without end", () => {
-  const t = new ConfirmedCancellations(60_000);
-  const at = new Date(5);
+test("confirmed cancellations are sent until the leader has them, to each leader anew, and for a limited time", () => {
+  const confirmed = new ConfirmedCancellations(60_000);
+  const cancelledAt = new Date(5);
   assert.deepEqual(
-    [t.add("job-1", at, 0), t.add("job-2", at, 10), t.add("job-1", at, 20)],
+    [
+      confirmed.add("job-1", cancelledAt, 0),
+      confirmed.add("job-2", cancelledAt, 10),
+      confirmed.add("job-1", cancelledAt, 20),
+    ],
     [true, true, false],
   );
-  const names = (nowMs: number): string[] => t.nextUpdate(nowMs).cancellations.map((x) => x.id);
+  const idsSent = (nowMs: number): string[] => confirmed.nextUpdate(nowMs).cancellations.map(({ id }) => id);
   assert.deepEqual(
-    [names(30), t.nextUpdate(30).cancellationSeq, t.nextUpdate(30).cancellationsComplete],
+    [idsSent(30), confirmed.nextUpdate(30).cancellationSeq, confirmed.nextUpdate(30).cancellationsComplete],
     [["job-1", "job-2"], 2, true],
   );
-  t.acknowledgeUpTo(1);
-  assert.deepEqual([names(40), t.nextUpdate(40).cancellationSeq], [["job-2"], 2]);
-  t.acknowledgeUpTo(2);
-  assert.deepEqual([names(50), t.nextUpdate(50).cancellationSeq], [[], 2]);
-  t.beginTerm();
-  assert.deepEqual(names(60), ["job-1", "job-2"], "the next leader");
-  t.expire(60_005);
-  assert.deepEqual(names(60_005), ["job-2"], "whoever has not heard of it by then has let its leases end");
-  for (let i = 10; i < 5000; i++) t.add(`job-${i}`, at, 61_000);
-  assert.equal(t.nextUpdate(61_000).cancellationsComplete, false, "more than a frame holds");
-  t.acknowledgeUpTo(t.nextUpdate(61_000).cancellationSeq + 10_000);
+  confirmed.acknowledgeUpTo(1);
+  assert.deepEqual([idsSent(40), confirmed.nextUpdate(40).cancellationSeq], [["job-2"], 2]);
+  confirmed.acknowledgeUpTo(2);
+  assert.deepEqual([idsSent(50), confirmed.nextUpdate(50).cancellationSeq], [[], 2]);
+  confirmed.beginTerm();
+  assert.deepEqual(idsSent(60), ["job-1", "job-2"], "the next leader");
+  confirmed.expire(60_005);
+  assert.deepEqual(idsSent(60_005), ["job-2"], "leases of those that do not know it have expired by then");
+  for (let number = 10; number < 5000; number++) confirmed.add(`job-${number}`, cancelledAt, 61_000);
+  assert.equal(confirmed.nextUpdate(61_000).cancellationsComplete, false, "more than a frame holds");
+  confirmed.acknowledgeUpTo(confirmed.nextUpdate(61_000).cancellationSeq + 10_000);
   assert.deepEqual(
-    [t.nextUpdate(61_000).cancellations, t.nextUpdate(61_000).cancellationsComplete],
+    [confirmed.nextUpdate(61_000).cancellations, confirmed.nextUpdate(61_000).cancellationsComplete],
     [[], false],
-    "some were dropped unsaid",
+    "some were dropped before they were sent",
   );
-  t.expire(200_000);
-  assert.equal(t.nextUpdate(200_000).cancellationsComplete, true);
+  confirmed.expire(200_000);
+  assert.equal(confirmed.nextUpdate(200_000).cancellationsComplete, true);
 });
--- a/test/heartbeatServerRegistry.test.ts
+++ b/test/heartbeatServerRegistry.test.ts
@@ -6,8 +6,8 @@
 } from "../src/coordination/heartbeats/heartbeatServerRegistry.js";
 import type { HeartbeatServerUpdate } from "../src/protocol/peers/messages.js";
 
-/** What a controller asks for its first grant with. */
-const ask: HeartbeatServerUpdate = {
+/** The update with which a controller requests its first grant. */
+const firstUpdate: HeartbeatServerUpdate = {
   kind: "heartbeat server update",
   from: "n1",
   term: 1,
@@ -38,41 +38,41 @@
   };
 }
 
-test("the leader's registry of heartbeat servers: gaps blind it, grants end no later than its own right to acknowledge", () => {
-  const facts = (s: HeartbeatServerRegistry): object => ({ ...[...s.acknowledgementFacts("a", 0)][0] });
-  const s = new HeartbeatServerRegistry(new Map([["n1", "b"]]), 9000);
-  s.applyUpdate(ask, 10_000);
+test("a gap makes acknowledgements unknown, and a grant ends no later than the leader's own right to acknowledge", () => {
+  const registry = new HeartbeatServerRegistry(new Map([["n1", "b"]]), 9000);
+  const facts = (): object => ({ ...[...registry.acknowledgementFacts("a", 0)][0] });
+  registry.applyUpdate(firstUpdate, 10_000);
   assert.equal(
-    s.grant(ask, grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 10_500 }))?.durationMs,
+    registry.grant(firstUpdate, grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 10_500 }))?.durationMs,
     500,
     "no longer than the lease",
   );
   assert.equal(
-    s.grant(ask, grantTerms({ nowMs: 10_600, acknowledgeUntilMs: 10_500 })),
+    registry.grant(firstUpdate, grantTerms({ nowMs: 10_600, acknowledgeUntilMs: 10_500 })),
     null,
     "none after it",
   );
-  s.applyUpdate({ ...ask, sequence: 2, lastGrantIssuedAtMs: 10_000 }, 10_400);
-  assert.deepEqual(pick(facts(s)), {
+  registry.applyUpdate({ ...firstUpdate, sequence: 2, lastGrantIssuedAtMs: 10_000 }, 10_400);
+  assert.deepEqual(timesOf(facts()), {
     acknowledgementsKnownUntilMs: 10_000,
     acknowledgementsUnknownBeforeMs: -Infinity,
   });
-  s.applyUpdate({ ...ask, sequence: 4, lastGrantIssuedAtMs: 10_300 }, 10_700);
+  registry.applyUpdate({ ...firstUpdate, sequence: 4, lastGrantIssuedAtMs: 10_300 }, 10_700);
   assert.deepEqual(
-    pick(facts(s)),
+    timesOf(facts()),
     { acknowledgementsKnownUntilMs: 10_300, acknowledgementsUnknownBeforeMs: 10_700 },
     "a lost frame",
   );
-  s.applyUpdate({ ...ask, incarnation: 6, sequence: 1 }, 10_900);
+  registry.applyUpdate({ ...firstUpdate, incarnation: 6, sequence: 1 }, 10_900);
   assert.deepEqual(
-    pick(facts(s)),
+    timesOf(facts()),
     { acknowledgementsKnownUntilMs: 10_300, acknowledgementsUnknownBeforeMs: 10_900 },
     "a new process",
   );
 });
 
-test("a controller may keep its own zone for longer, and a lease there counts from that; an unheard one's from before", () => {
-  const s = new HeartbeatServerRegistry(
+test("a zone lease outlasts a grant; one without an update in this term may hold an earlier leader's", () => {
+  const registry = new HeartbeatServerRegistry(
     new Map([
       ["n1", "b"],
       ["n2", "b"],
@@ -80,47 +80,57 @@
     ]),
     9000,
   );
-  s.applyUpdate(ask, 10_000);
+  registry.applyUpdate(firstUpdate, 10_000);
   assert.equal(
-    s.grant(ask, grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 12_000, zoneDurationMs: 9000 }))
-      ?.zoneDurationMs,
+    registry.grant(
+      firstUpdate,
+      grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 12_000, zoneDurationMs: 9000 }),
+    )?.zoneDurationMs,
     9000,
   );
-  const until = (zone: string): number[] =>
-    [...s.acknowledgementFacts(zone, 7000)].map((f) => Math.round(f.grantUntilMs));
-  const short = 10_000 + 2000 * 1.001 + 10;
-  const cases: [string, number[]][] = [
-    // n1's own zone: what it was given; n2, not heard in this term: what an earlier leader can have given it.
+  const grantEnds = (zone: string): number[] =>
+    [...registry.acknowledgementFacts(zone, 7000)].map((facts) => Math.round(facts.grantUntilMs));
+  const grantEnd = 10_000 + 2000 * 1.001 + 10;
+  const cases: [zone: string, wantMs: number[]][] = [
+    // n1's own zone: what it was given; n2, without an update in this term: what an earlier leader can have given it.
     ["b", [10_000 + 9000 * 1.001 + 10, 7000 + 9000 * 1.001]],
-    ["a", [short, 7000 + 9000 * 1.001]],
+    ["a", [grantEnd, 7000 + 9000 * 1.001]],
     ["", [10_000 + 9000 * 1.001 + 10, 7000 + 9000 * 1.001, 7000 + 9000 * 1.001]],
-    ["c", [short]],
+    ["c", [grantEnd]],
   ];
-  for (const [zone, want] of cases) assert.deepEqual(until(zone), want.map(Math.round), `zone "${zone}"`);
-  // Whatever it did under an earlier leader is over with its first frame of this term, and unknown up to then.
-  assert.equal([...s.acknowledgementFacts("b", 7000)][0]!.acknowledgementsUnknownBeforeMs, 10_000);
-  assert.equal([...s.acknowledgementFacts("a", 7000)][0]!.acknowledgementsUnknownBeforeMs, -Infinity);
+  for (const [zone, wantMs] of cases)
+    assert.deepEqual(grantEnds(zone), wantMs.map(Math.round), `zone "${zone}"`);
+  // What it did under an earlier leader is over with its first update of this term, and unknown up to then.
+  assert.equal([...registry.acknowledgementFacts("b", 7000)][0]!.acknowledgementsUnknownBeforeMs, 10_000);
+  assert.equal([...registry.acknowledgementFacts("a", 7000)][0]!.acknowledgementsUnknownBeforeMs, -Infinity);
 });
 
-test("what was lost is asked for until it is told again, also of who stood still when it was asked", () => {
-  const s = new HeartbeatServerRegistry(new Map([["n1", "a"]]), 0);
-  const frame = (seq: number, retoldMs: number): HeartbeatServerUpdate => ({
-    ...ask,
-    sequence: seq,
-    lastResyncIssuedAtMs: retoldMs,
+test("a resync is requested until it is carried out, also of a controller that stood still at the first request", () => {
+  const registry = new HeartbeatServerRegistry(new Map([["n1", "a"]]), 0);
+  const update = (sequence: number, lastResyncIssuedAtMs: number): HeartbeatServerUpdate => ({
+    ...firstUpdate,
+    sequence,
+    lastResyncIssuedAtMs,
   });
-  const asked = (seq: number, retoldMs: number, nowMs: number): boolean | undefined => {
-    s.applyUpdate(frame(seq, retoldMs), nowMs);
-    return s.grant(frame(seq, retoldMs), grantTerms({ nowMs, acknowledgeUntilMs: nowMs + 4000 }))?.resync;
+  const requestsResync = (sequence: number, resyncMs: number, nowMs: number): boolean | undefined => {
+    registry.applyUpdate(update(sequence, resyncMs), nowMs);
+    return registry.grant(update(sequence, resyncMs), grantTerms({ nowMs, acknowledgeUntilMs: nowMs + 4000 }))
+      ?.resync;
   };
   assert.deepEqual(
-    [asked(1, 0, 1000), asked(3, 0, 2000), asked(4, 0, 3000), asked(5, 2500, 4000), asked(6, 2500, 5000)],
+    [
+      requestsResync(1, 0, 1000),
+      requestsResync(3, 0, 2000),
+      requestsResync(4, 0, 3000),
+      requestsResync(5, 2500, 4000),
+      requestsResync(6, 2500, 5000),
+    ],
     [false, true, true, false, false],
   );
 });
 
-test("what users were told is cancelled: read, or named by who told it; a process that is over can only be read after", () => {
-  const s = new HeartbeatServerRegistry(
+test("cancellations are known when they are read, or named by the process that confirmed them", () => {
+  const registry = new HeartbeatServerRegistry(
     new Map([
       ["n1", "a"],
       ["n2", "a"],
@@ -130,45 +140,56 @@
   const frame = (
     from: string,
     incarnation: number,
-    echoMs: number,
-    toldAll = true,
+    lastGrantIssuedAtMs: number,
+    cancellationsComplete = true,
   ): HeartbeatServerUpdate => ({
-    ...ask,
+    ...firstUpdate,
     from,
     incarnation,
-    lastGrantIssuedAtMs: echoMs,
-    cancellationsComplete: toldAll,
+    lastGrantIssuedAtMs,
+    cancellationsComplete,
   });
-  const steps: [string, HeartbeatServerUpdate | null, number, number, number][] = [
-    // name, frame that comes in at this moment, up to when we have read, known up to
-    ["nobody heard: what we read", null, 10_000, 9900, 9900],
-    ["one heard", frame("n1", 5, 9950), 10_100, 10_100, 10_100],
-    ["both heard, and read nothing since", frame("n2", 6, 10_400), 10_500, 10_500, 10_500],
-    ["both have named all that they told", frame("n1", 5, 11_000), 11_100, 10_500, 10_500],
+  const steps: [
+    name: string,
+    update: HeartbeatServerUpdate | null,
+    nowMs: number,
+    readUntilMs: number,
+    knownUntilMs: number,
+  ][] = [
+    ["no update yet: what is read", null, 10_000, 9900, 9900],
+    ["one has sent an update", frame("n1", 5, 9950), 10_100, 10_100, 10_100],
+    ["both have, and nothing has been read since", frame("n2", 6, 10_400), 10_500, 10_500, 10_500],
+    ["both have named all that they confirmed", frame("n1", 5, 11_000), 11_100, 10_500, 10_500],
     ["the earliest counts", frame("n2", 6, 10_900), 11_200, 10_500, 10_900],
     ["a list that is not whole adds nothing", frame("n2", 6, 11_100, false), 11_300, 10_500, 10_900],
-    ["an echo from our future adds no more than now", frame("n2", 6, 99_000), 11_400, 10_500, 11_000],
-    ["a new process can't speak for the one before", frame("n1", 7, 11_300), 11_500, 10_500, 10_500],
+    ["a time from the future adds no more than now", frame("n2", 6, 99_000), 11_400, 10_500, 11_000],
+    [
+      "a new process can't name what the one before it confirmed",
+      frame("n1", 7, 11_300),
+      11_500,
+      10_500,
+      10_500,
+    ],
     ["so the other's list counts, too", frame("n2", 6, 11_600), 11_700, 11_500, 11_500],
     [
-      "once we have read after we first heard it, it speaks for itself",
+      "once more was read than at its first update, its own list counts",
       frame("n1", 7, 11_550),
       11_900,
       11_500,
       11_550,
     ],
   ];
-  for (const [name, update, nowMs, readMs, want] of steps) {
+  for (const [name, update, nowMs, readUntilMs, knownUntilMs] of steps) {
     if (update) {
-      s.applyUpdate(update, nowMs);
-      s.applyCancellations(update, nowMs);
+      registry.applyUpdate(update, nowMs);
+      registry.applyCancellations(update, nowMs);
     }
-    assert.equal(s.cancellationsKnownUntilMs(readMs), want, name);
+    assert.equal(registry.cancellationsKnownUntilMs(readUntilMs), knownUntilMs, name);
   }
 });
 
-function pick(o: object): object {
-  const { acknowledgementsKnownUntilMs, acknowledgementsUnknownBeforeMs } = o as {
+function timesOf(facts: object): object {
+  const { acknowledgementsKnownUntilMs, acknowledgementsUnknownBeforeMs } = facts as {
     acknowledgementsKnownUntilMs: number;
     acknowledgementsUnknownBeforeMs: number;
   };
--- a/test/workerBalancer.test.ts
+++ b/test/workerBalancer.test.ts
@@ -1,20 +1,16 @@
 import assert from "node:assert/strict";
 import test from "node:test";
-import { chooseServer } from "../src/coordination/heartbeats/workerBalancer.js";
+import { chooseServer, type ServerChoice } from "../src/coordination/heartbeats/workerBalancer.js";
 
-test("workers are spread: new ones early, known ones when others were away, anybody when we fall behind", () => {
-  const server = (
-    node: string,
-    machines: number,
-    lagMs = 0,
-  ): { node: string; machines: number; lagMs: number } => ({
+test("workers are spread: new ones early, known ones when others were away, all when this controller is slow", () => {
+  const server = (node: string, machines: number, lagMs = 0): ServerChoice["servers"][number] => ({
     node,
     machines,
     lagMs,
   });
   const even = [server("n0", 40), server("n1", 80), server("n2", 80)];
   const survivor = [server("n0", 0), server("n1", 200), server("n2", 0)];
-  const cases: [string, Partial<Parameters<typeof chooseServer>[0]>, string | null][] = [
+  const cases: [name: string, change: Partial<ServerChoice>, target: string | null][] = [
     ["even", { servers: even }, null],
     ["a new one at a full node", { servers: [server("n0", 40), server("n1", 95), server("n2", 65)] }, "n2"],
     [
@@ -29,14 +25,14 @@
       "n0",
     ],
     [
-      "not to one that is behind itself",
+      "not to one that is slow itself",
       { servers: [server("n0", 9, 900), server("n1", 200), server("n2", 150)] },
       null,
     ],
-    ["we are behind, the others are not", { servers: even, isKnown: true, lagMs: 2000 }, "n0"],
+    ["this one is slow, the others are not", { servers: even, isKnown: true, lagMs: 2000 }, "n0"],
     [
-      "all are behind alike",
-      { servers: even.map((h) => ({ ...h, lagMs: 350 })), isKnown: true, lagMs: 600 },
+      "all are slow alike",
+      { servers: even.map((each) => ({ ...each, lagMs: 350 })), isKnown: true, lagMs: 600 },
       null,
     ],
     [
@@ -46,16 +42,16 @@
     ],
     ["its own zone has a controller", { servers: even, isKnown: true, zone: "b" }, "n2"],
     [
-      "its own zone's only controller is behind",
+      "its own zone's only controller is slow",
       { servers: [even[0]!, even[1]!, server("n2", 80, 900)], zone: "b" },
       null,
     ],
     ["a zone without controllers", { servers: even, zone: "c" }, null],
     ["nobody else has a grant", { servers: [server("n1", 200)] }, null],
   ];
-  for (const [name, change, want] of cases) {
+  for (const [name, change, target] of cases) {
     const zoneOf = (node: string): string => (name.includes("own zone") && node === "n2" ? "b" : "a");
-    const facts = {
+    const choice: ServerChoice = {
       zone: "a",
       zoneOf,
       node: "n1",
@@ -66,6 +62,6 @@
       servers: even,
       ...change,
     };
-    assert.equal(chooseServer(facts), want, name);
+    assert.equal(chooseServer(choice), target, name);
   }
 });
