--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -35,7 +35,7 @@
   onLimits: (limits: HeartbeatServerLimits) => void;
   /** Workers that lately sent their heartbeats to this controller. */
   workerCount: () => number;
-  /** How far this controller is behind with its work. */
+  /** This controller's event loop's lag. */
   lagMs: () => number;
 }
 
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -4,10 +4,10 @@
  * effects; rights, decisions, batches and balancing are in modules of their own.
  */
 import type { Heartbeat } from "../../protocol/model.js";
-import type { Grant, HeartbeatServerUpdate, PeerMessage } from "../../protocol/peers/messages.js";
+import type { Grant } from "../../protocol/peers/messages.js";
 import { encodeHeartbeatResponse, encodeRedirect } from "../../protocol/workers.js";
 import { Actor } from "../../transport/actor.js";
-import type { Clock, Timer } from "../../transport/clock.js";
+import type { Timer } from "../../transport/clock.js";
 import type { ServerResponse } from "../../transport/httpServer.js";
 import { firstFencingToken } from "../term/fencingTokens.js";
 import type { LeadershipChange } from "../term/leadershipLease.js";
@@ -15,51 +15,11 @@
 import { ConfirmedCancellations } from "./confirmedCancellations.js";
 import { isUnchanged } from "./heartbeatComparison.js";
 import { decideOnHeartbeat, type ServedTerm } from "./heartbeatDecision.js";
+import type { HeartbeatServerMessage, HeartbeatServerOptions } from "./heartbeatServerOptions.js";
 import { HeartbeatUpdates } from "./heartbeatUpdates.js";
 import { ServedWorkers } from "./servedWorkers.js";
 import { WorkerBalancer } from "./workerBalancer.js";
 
-type Message =
-  | { kind: "election"; change: LeadershipChange }
-  | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (response: ServerResponse) => void }
-  /** From the leader, when another controller leads. */
-  | { kind: "grant"; grant: Grant }
-  /** From the leader in this process: which controllers serve workers. */
-  | { kind: "servers"; servers: Grant["servers"] }
-  /** From the leader in this process: what may be acknowledged. */
-  | { kind: "limits"; limits: HeartbeatServerLimits }
-  /** A user has been given the confirmation of a cancellation. */
-  | { kind: "cancellation confirmed"; id: string; at: Date }
-  /** A controller of our zone has no right to acknowledge and no leader. */
-  | { kind: "isolated"; from: string; term: number }
-  | { kind: "flush" }
-  | { kind: "tick" };
-
-export interface HeartbeatServerOptions {
-  node: string;
-  zone: string;
-  /** Each controller's zone, ours included. */
-  zones: ReadonlyMap<string, string>;
-  /** Different in each process; below 2^48. */
-  incarnation: number;
-  clock: Clock;
-  /** Workers' time between heartbeats, in seconds. */
-  heartbeatS: number;
-  /** A cancellation that was confirmed longer ago than this can concern no running task. */
-  cancellationRetentionMs: number;
-  sendToLeader: (leader: string, update: HeartbeatServerUpdate) => void;
-  /** To another controller of our zone. */
-  sendToNeighbour: (node: string, message: PeerMessage) => void;
-  /** To the leader in this process, while it leads. */
-  sendToLocalLeader: (update: HeartbeatServerUpdate) => void;
-  /** For the first time in this process, heartbeats may be acknowledged. */
-  onFirstGrant: () => void;
-  /** A worker has seen the fencing token of a later term than this one. */
-  onLaterTerm: (term: number) => void;
-  /** How far this process is behind with its work. */
-  lagMs: () => number;
-}
-
 const STATUS_OK = 200;
 /** The worker should send its heartbeats to the controller that the body names. */
 const STATUS_REDIRECT = 421;
@@ -77,7 +37,7 @@
  * controller has the right, and the leader is sent every heartbeat that got one, for its proofs by lease expiry count on
  * that (rule `ran_twice`). The responses carry no commands: those come from the leader alone, by deliveries.
  */
-export class HeartbeatServer extends Actor<Message> {
+export class HeartbeatServer extends Actor<HeartbeatServerMessage> {
   private readonly served: ServedTerm;
   private readonly rights: AcknowledgementRights;
   private readonly workers: ServedWorkers;
@@ -124,12 +84,12 @@
     return this.workers.workerCount;
   }
 
-  protected override failed(message: Message, error: unknown): void {
+  protected override failed(message: HeartbeatServerMessage, error: unknown): void {
     super.failed(message, error);
     if (message.kind === "heartbeat") message.reply({ status: STATUS_UNAVAILABLE, body: {} });
   }
 
-  protected override handle(message: Message): void {
+  protected override handle(message: HeartbeatServerMessage): void {
     switch (message.kind) {
       case "election":
         this.applyElection(message.change);
--- a/src/coordination/heartbeats/heartbeatServerRecord.ts
+++ b/src/coordination/heartbeats/heartbeatServerRecord.ts
@@ -15,7 +15,7 @@
   incarnation: number;
   /** Number of its last update in this term. */
   sequence: number;
-  /** Workers that it serves, and how far it is behind, as it last said. */
+  /** Workers that it serves, and its event loop's lag, by its last update. */
   machines: number;
   lagMs: number;
   lastUpdateMs: number;
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -19,7 +19,7 @@
 const MAX_UPDATE_AGE_MS = 1500;
 const FASTER_BY = 3;
 
-/** A controller that serves workers: its name, how many workers it has, how far it is behind. */
+/** A controller that serves workers: its name, how many workers it has, its event loop's lag. */
 type ServerLoad = Grant["servers"][number];
 
 /** What a grant may allow, as the leader stands at that moment. */
@@ -164,7 +164,7 @@
     };
   }
 
-  /** Does any controller that is connected keep up clearly better than the leader, which is so far behind? */
+  /** Does any controller that is connected lag much less than the leader, whose event loop lags by so much? */
   hasFasterServer(lagMs: number, nowMs: number): boolean {
     for (const record of this.records.values())
       if (nowMs - record.lastUpdateMs < MAX_UPDATE_AGE_MS && record.lagMs * FASTER_BY < lagMs) return true;
--- a/src/coordination/heartbeats/workerBalancer.ts
+++ b/src/coordination/heartbeats/workerBalancer.ts
@@ -21,7 +21,7 @@
 /** A controller that a worker did not reach is sent none for so long. */
 const UNREACHABLE_MS = 20_000;
 
-/** A controller this far behind redirects workers to those that keep up, and is redirected none. */
+/** A controller that lags by more than this redirects workers to those that keep up, and is redirected none. */
 const SLOW_LAG_MS = 400;
 /** A slow controller redirects only to one that is so many times faster. */
 const FASTER_BY = 3;
@@ -34,7 +34,7 @@
 /** A controller is redirected workers only while it has less than this part of its fair share. */
 const ROOM_FACTOR = 0.97;
 
-/** A controller that serves workers: its name, how many workers it has, how far it is behind. */
+/** A controller that serves workers: its name, how many workers it has, its event loop's lag. */
 type ServerLoad = Grant["servers"][number];
 
 /** What decides, beside the servers, which controller should serve a worker. */
@@ -43,7 +43,7 @@
   isKnown: boolean;
   leader: string | null;
   leaderIsNew: boolean;
-  /** How far this controller is behind. */
+  /** This controller's event loop's lag. */
   lagMs: number;
   nowMs: number;
 }
@@ -55,7 +55,7 @@
   leader: string | null;
   /** The part that the leader takes of a controller's share of the workers. */
   leaderShare: number;
-  /** How far this controller is behind. */
+  /** This controller's event loop's lag. */
   lagMs: number;
   /** The worker is served here already. */
   isKnown: boolean;
@@ -164,7 +164,7 @@
 /**
  * The controller that a worker should go to; null: it stays here. New workers go where there is room as soon as this
  * controller has a little more than its share; known ones when it has far more (the others may have been away), or when it
- * is behind and another one is not. Pure.
+ * lags and another one does not. Pure.
  */
 export function chooseServer(choice: ServerChoice): string | null {
   // Workers stay in their own zone where it has controllers, so that a partition between zones separates none from its
