--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -4,9 +4,9 @@
  * acknowledge heartbeats, never the right to write. Guards rules `ran_twice` and `ran_cancelled`: at no time do two
  * leaders rely on the same proof, as each knows when the rights of all earlier ones have ended.
  */
-import type { Timer } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
 import { Actor } from "../../transport/actor.js";
+import { CheckTimer, type RandomDelay } from "./checkTimer.js";
 import { stepAfterRead } from "./electionStep.js";
 import type {
   ElectionPeerMessage,
@@ -24,15 +24,16 @@
 import { LivenessWrites } from "./livenessWrites.js";
 import { OwnTerm } from "./ownTerm.js";
 
-/** A leader renews its lease so many times in the lease's length. */
+/** Renewals in one length of the lease: a few may fail before it expires. */
 const RENEWALS_PER_LEASE = 4;
 /** A failed renewal is tried again after this. */
 const RENEWAL_RETRY_MS = 300;
 /** A leader that can't keep up leaves the next terms to others for so long. */
 const STEP_DOWN_PAUSE_MS = 20_000;
-/** Delays have a random part, so that controllers that failed together don't try again together. */
-const CAMPAIGN_RETRY = { leastMs: 50, spreadMs: 150 };
-const CHECK_AFTER_RESIGNING = { leastMs: 100, spreadMs: 200 };
+/** A lost campaign: whoever won it is found by the next read. */
+const CAMPAIGN_RETRY: RandomDelay = { leastMs: 50, spreadMs: 150 };
+/** A leader that has resigned leaves the others a head start. */
+const CHECK_AFTER_RESIGNING: RandomDelay = { leastMs: 100, spreadMs: 200 };
 
 /** Owns this controller's part in the election. Every change that others need to know goes to `onLeadershipChange`. */
 export class Elector extends Actor<ElectorMessage> {
@@ -40,9 +41,8 @@
   private ownTerm: OwnTerm | null = null;
   /** One request to the state store at a time: a read, a renewal, a campaign, or a lease's end. */
   private isRequestInFlight = false;
-  private checkTimer: Timer | null = null;
-  private isStopped = false;
   private noCampaignUntilMs = -Infinity;
+  private readonly timer: CheckTimer;
   private readonly known: KnownLeadership;
   private readonly store: LeadershipStore;
   private readonly extensionRequests: ExtensionRequests;
@@ -51,6 +51,7 @@
 
   constructor(private readonly options: ElectorOptions) {
     super("election");
+    this.timer = new CheckTimer(options, () => this.tell({ kind: "check due" }));
     this.known = new KnownLeadership(options.node);
     this.store = new LeadershipStore(options);
     this.extensionRequests = new ExtensionRequests(options.node, options.peers);
@@ -62,8 +63,7 @@
 
   /** A lease that is held is left to its expiry. */
   stop(): void {
-    this.isStopped = true;
-    this.checkTimer?.cancel();
+    this.timer.stop();
   }
 
   protected override handle(message: ElectorMessage): void {
@@ -100,16 +100,6 @@
 
   // The check of the leadership: a renewal by the leader, a read by everybody else.
 
-  private checkAfter(delayMs: number): void {
-    this.checkTimer?.cancel();
-    if (this.isStopped) return;
-    this.checkTimer = this.options.clock.after(delayMs, () => this.tell({ kind: "check due" }));
-  }
-
-  private checkAfterRandom({ leastMs, spreadMs }: { leastMs: number; spreadMs: number }): void {
-    this.checkAfter(leastMs + this.options.random() * spreadMs);
-  }
-
   private checkLeadership(): void {
     if (this.isRequestInFlight) return;
     this.isRequestInFlight = true;
@@ -128,13 +118,13 @@
     const { node, incarnation, clock, probeMs } = this.options;
     this.isRequestInFlight = false;
     if (!view) {
-      this.checkAfter(probeMs);
+      this.timer.checkAfter(probeMs);
       return;
     }
     const { record } = view;
     this.known.hasBeenRead = true;
-    this.known.noteTerm(view.term);
-    this.noteLeader(record?.node ?? null, record?.term ?? 0);
+    this.known.observeTerm(view.term);
+    this.observeLeader(record?.node ?? null, record?.term ?? 0);
     const step = stepAfterRead(record, {
       node,
       incarnation,
@@ -143,7 +133,7 @@
     });
     switch (step.kind) {
       case "wait":
-        this.checkAfter(probeMs);
+        this.timer.checkAfter(probeMs);
         break;
       case "campaign":
         this.campaign(view);
@@ -168,8 +158,8 @@
     });
   }
 
-  private noteLeader(node: string | null, term: number): void {
-    if (!this.known.noteLeader(node, term)) return;
+  private observeLeader(node: string | null, term: number): void {
+    if (!this.known.observeLeader(node, term)) return;
     this.options.onLeadershipChange({ lease: null, leader: this.known.leader.node, term });
   }
 
@@ -183,27 +173,27 @@
   private campaignFinished(won: WonTerm | null): void {
     this.isRequestInFlight = false;
     if (!won) {
-      this.checkAfterRandom(CAMPAIGN_RETRY);
+      this.timer.checkAfterRandom(CAMPAIGN_RETRY);
       return;
     }
     this.known.lead(won.term);
     this.ownTerm = new OwnTerm(won, this.extensionRequests, this.options);
     log.info(`leading term ${won.term}`);
     this.ownTerm.begin();
-    this.checkAfter(this.options.leaseMs / RENEWALS_PER_LEASE);
+    this.timer.checkAfter(this.options.leaseMs / RENEWALS_PER_LEASE);
   }
 
   private renewalFinished({ term, outcome, sentMs }: RenewalResult): void {
     const { ownTerm } = this;
     this.isRequestInFlight = false;
     if (ownTerm?.term !== term) {
-      this.checkAfter(0);
+      this.timer.checkAfter(0);
       return;
     }
     switch (outcome) {
       case "ok":
         ownTerm.renewed(sentMs);
-        this.checkAfter(this.options.leaseMs / RENEWALS_PER_LEASE);
+        this.timer.checkAfter(this.options.leaseMs / RENEWALS_PER_LEASE);
         break;
       case "ended":
         this.resign("the leadership lease has ended");
@@ -218,12 +208,12 @@
   private renewalFailed(ownTerm: OwnTerm): void {
     ownTerm.requestExtension();
     if (ownTerm.isLost()) this.resign("the leadership lease has run out and no quorum extends it");
-    else this.checkAfter(RENEWAL_RETRY_MS);
+    else this.timer.checkAfter(RENEWAL_RETRY_MS);
   }
 
   private stepDown(): void {
     this.noCampaignUntilMs = this.options.clock.nowMs() + STEP_DOWN_PAUSE_MS;
-    this.resign("this node falls behind, others do not");
+    this.resign("this node is overloaded, others are not");
   }
 
   private resign(reason: string): void {
@@ -234,7 +224,7 @@
     this.known.resign();
     this.options.onLeadershipChange({ lease: null, leader: null, term: 0 });
     void this.store.endLease(leaseId);
-    this.checkAfterRandom(CHECK_AFTER_RESIGNING);
+    this.timer.checkAfterRandom(CHECK_AFTER_RESIGNING);
   }
 
   // Messages from the other controllers.
@@ -259,8 +249,8 @@
   /** From now on this controller confirms no extension of an earlier term: `mayConfirmExtension` looks at the newest one known. */
   private receiveAnnouncement({ from, term }: TermAnnouncement): void {
     const { node, send } = this.options;
-    this.known.noteTerm(term);
-    if (term === this.known.term && !this.ownTerm) this.noteLeader(from, term);
+    this.known.observeTerm(term);
+    if (term === this.known.term && !this.ownTerm) this.observeLeader(from, term);
     if (term >= this.known.term) send(from, { kind: "term acknowledgement", from: node, term });
     if (this.ownTerm && term > this.ownTerm.term) this.resign(`${from} leads term ${term}`);
   }
@@ -296,14 +286,14 @@
     const { node, term } = this.known.leader;
     if (peer !== node) return;
     this.suspicion.raise({ leader: peer, term, othersReachable, sinceMs: nowMs });
-    this.checkAfter(0);
+    this.timer.checkAfter(0);
   }
 
   /** Writes the leadership record anew, now and a few times more. */
   private writeLiveness(): void {
     const { clock } = this.options;
     const nowMs = clock.nowMs();
-    if (this.isStopped || !this.ownTerm || !this.livenessWrites.areDue(nowMs)) return;
+    if (this.timer.isStopped || !this.ownTerm || !this.livenessWrites.areDue(nowMs)) return;
     this.store.writeLiveness(this.ownTerm, nowMs);
     clock.after(LIVENESS_WRITE_MS, () => this.tell({ kind: "liveness write due" }));
   }
--- a/src/coordination/leadership/knownLeadership.ts
+++ b/src/coordination/leadership/knownLeadership.ts
@@ -19,7 +19,7 @@
   }
 
   /** There is, or was, such a term. */
-  noteTerm(term: number): void {
+  observeTerm(term: number): void {
     this.newestTerm = Math.max(this.newestTerm, term);
   }
 
@@ -27,7 +27,7 @@
    * That controller, or nobody, leads; called while this controller does not. True when that is new. A record that names
    * this controller counts as nobody: it is left from before.
    */
-  noteLeader(leader: string | null, term: number): boolean {
+  observeLeader(leader: string | null, term: number): boolean {
     const other = leader === this.node ? null : leader;
     // A read may be older than what the leader itself has announced since.
     if (other !== null && term < this.leaderTerm) return false;
--- a/src/coordination/leadership/leaseExtension.ts
+++ b/src/coordination/leadership/leaseExtension.ts
@@ -3,7 +3,7 @@
  * must not cost running tasks, so a majority of the controllers may confirm that the leader goes on, for a short time and
  * without the right to write.
  */
-import { CLOCK_DRIFT } from "../term/clockDrift.js";
+import { shortenedByDrift } from "../term/clockDrift.js";
 import type { ExtensionVote } from "./electorMessages.js";
 import { isMajority } from "./quorum.js";
 
@@ -74,6 +74,6 @@
     if (!this.peers.includes(vote.from)) return null;
     request.confirmedBy.add(vote.from);
     if (!isMajority(request.confirmedBy.size, this.peers.length + 1)) return null;
-    return request.sentMs + EXTENSION_MS * (1 - 2 * CLOCK_DRIFT);
+    return request.sentMs + shortenedByDrift(EXTENSION_MS);
   }
 }
--- a/src/coordination/leadership/termConfirmation.ts
+++ b/src/coordination/leadership/termConfirmation.ts
@@ -2,7 +2,7 @@
  * Confirmation of a new term by a majority of the controllers. A controller that has confirmed a term extends no earlier
  * one, and any two majorities share a controller: from then on earlier leaders get no new extension.
  */
-import { CLOCK_DRIFT } from "../term/clockDrift.js";
+import { lengthenedByDrift } from "../term/clockDrift.js";
 import { EXTENSION_MS } from "./leaseExtension.js";
 import { isMajority } from "./quorum.js";
 
@@ -39,8 +39,7 @@
     if (this.isComplete || !isMajority(this.confirmedBy.size, this.controllers)) return false;
     // An earlier leader can still hold an extension that was confirmed just before the majority confirmed this term, or,
     // if its lease was ended early, the rest of that lease.
-    this.silentFromMs =
-      nowMs + Math.max(EXTENSION_MS, this.leaseMs) * (1 + 2 * CLOCK_DRIFT) + SILENCE_MARGIN_MS;
+    this.silentFromMs = nowMs + lengthenedByDrift(Math.max(EXTENSION_MS, this.leaseMs)) + SILENCE_MARGIN_MS;
     return true;
   }
 }
--- a/src/coordination/term/acknowledgementLimit.ts
+++ b/src/coordination/term/acknowledgementLimit.ts
@@ -2,7 +2,7 @@
  * Bounds the right to acknowledge heartbeats by what is known of cancellations (rule `ran_cancelled`). A cancelled task
  * that no command reaches ends with its worker's lease, so nobody may renew that lease too late.
  */
-import { CLOCK_DRIFT } from "./clockDrift.js";
+import { lengthenedByDrift, shortenedByDrift } from "./clockDrift.js";
 
 /** For a heartbeat's way, timers that fire late, and a worker that kills its tasks a moment after its lease has expired. */
 const ACKNOWLEDGEMENT_MARGIN_MS = 1000;
@@ -18,11 +18,8 @@
  * cancellation.
  */
 export function acknowledgementLimitMs(knownMs: number, cancelS: number, leaseS: number): number {
-  return (
-    knownMs +
-    (cancelS - leaseS * (1 + 2 * CLOCK_DRIFT)) * 1000 * (1 - 2 * CLOCK_DRIFT) -
-    ACKNOWLEDGEMENT_MARGIN_MS
-  );
+  const untilLastAcknowledgementS = cancelS - lengthenedByDrift(leaseS);
+  return knownMs + shortenedByDrift(untilLastAcknowledgementS * 1000) - ACKNOWLEDGEMENT_MARGIN_MS;
 }
 
 /** The longest lease, in milliseconds, that a controller can ever be given on its own zone; 0: none is worth giving. */
--- a/src/coordination/term/leadershipLease.ts
+++ b/src/coordination/term/leadershipLease.ts
@@ -1,5 +1,5 @@
 /** What an election publishes to the other parts of a controller: who leads, and what the leader may do until when. */
-import { CLOCK_DRIFT } from "./clockDrift.js";
+import { shortenedByDrift } from "./clockDrift.js";
 
 /** The leader stops this much before its lease can have expired, so that nothing it has begun outlasts the lease. */
 const LEADERSHIP_LEASE_MARGIN_MS = 20;
@@ -32,5 +32,5 @@
  * store counts from later on, and its clock may be the faster one.
  */
 export function leadershipLeaseUntilMs(renewalSentMs: number, ttlMs: number): number {
-  return renewalSentMs + ttlMs * (1 - 2 * CLOCK_DRIFT) - LEADERSHIP_LEASE_MARGIN_MS;
+  return renewalSentMs + shortenedByDrift(ttlMs) - LEADERSHIP_LEASE_MARGIN_MS;
 }
--- a/src/coordination/term/leaseProofs.ts
+++ b/src/coordination/term/leaseProofs.ts
@@ -2,7 +2,7 @@
  * Proofs that a task is on no machine any more. Everything that frees resources or quota, or starts a task a second time,
  * goes through one of these (rules `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`).
  */
-import { CLOCK_DRIFT } from "./clockDrift.js";
+import { lengthenedByDrift } from "./clockDrift.js";
 
 /** Allowance for a worker that kills its tasks a moment after its lease has expired. */
 const KILL_MARGIN_MS = 50;
@@ -47,7 +47,7 @@
  * heartbeat that was acknowledged, which is before the acknowledging controller received it.
  */
 export function leaseExpiredFromMs(lastPossibleAckMs: number, leaseS: number): number {
-  return lastPossibleAckMs + leaseS * 1000 * (1 + 2 * CLOCK_DRIFT) + KILL_MARGIN_MS;
+  return lastPossibleAckMs + lengthenedByDrift(leaseS * 1000) + KILL_MARGIN_MS;
 }
 
 /** What the leader knows of another controller that acknowledges heartbeats under its grants, in the leader's time. */
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -122,37 +122,37 @@
 describe("what a controller knows of the leader", () => {
   function knownAfterTerm4(): KnownLeadership {
     const known = new KnownLeadership("n0");
-    known.noteTerm(4);
-    assert.equal(known.noteLeader("n1", 4), true);
+    known.observeTerm(4);
+    assert.equal(known.observeLeader("n1", 4), true);
     return known;
   }
   const cases: {
     name: string;
     leader: string | null;
     term: number;
-    isNews: boolean;
+    hasChanged: boolean;
     after: string | null;
   }[] = [
-    { name: "the same leader of the same term", leader: "n1", term: 4, isNews: false, after: "n1" },
-    { name: "the same leader of a later term", leader: "n1", term: 5, isNews: true, after: "n1" },
-    { name: "another one of a later term", leader: "n2", term: 5, isNews: true, after: "n2" },
-    { name: "another one of an earlier term", leader: "n2", term: 3, isNews: false, after: "n1" },
-    { name: "nobody", leader: null, term: 0, isNews: true, after: null },
-    { name: "a record of its own, left from before", leader: "n0", term: 4, isNews: true, after: null },
+    { name: "the same leader of the same term", leader: "n1", term: 4, hasChanged: false, after: "n1" },
+    { name: "the same leader of a later term", leader: "n1", term: 5, hasChanged: true, after: "n1" },
+    { name: "another one of a later term", leader: "n2", term: 5, hasChanged: true, after: "n2" },
+    { name: "another one of an earlier term", leader: "n2", term: 3, hasChanged: false, after: "n1" },
+    { name: "nobody", leader: null, term: 0, hasChanged: true, after: null },
+    { name: "a record of its own, left from before", leader: "n0", term: 4, hasChanged: true, after: null },
   ];
-  for (const { name, leader, term, isNews, after } of cases)
+  for (const { name, leader, term, hasChanged, after } of cases)
     test(name, () => {
       const known = knownAfterTerm4();
-      assert.equal(known.noteLeader(leader, term), isNews);
+      assert.equal(known.observeLeader(leader, term), hasChanged);
       assert.equal(known.leader.node, after);
     });
 
   test("nobody, twice, is nothing new; the term before still counts", () => {
     const known = knownAfterTerm4();
-    known.noteLeader(null, 0);
-    assert.equal(known.noteLeader(null, 0), false);
+    known.observeLeader(null, 0);
+    assert.equal(known.observeLeader(null, 0), false);
     assert.deepEqual(known.leader, { node: null, term: 4 });
-    assert.equal(known.noteLeader("n2", 3), false, "an old read");
+    assert.equal(known.observeLeader("n2", 3), false, "an old read");
   });
 
   test("its own leadership, until it resigns", () => {
@@ -165,7 +165,7 @@
 
   test("the newest term only rises", () => {
     const known = knownAfterTerm4();
-    known.noteTerm(3);
+    known.observeTerm(3);
     assert.equal(known.term, 4);
   });
 });
