--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -1,8 +1,8 @@
 /**
  * The election of the controllers' leader. A term begins with a compare-and-swap in the state store and lasts as long as
  * its lease there is renewed. In an outage of the state store a majority of the controllers may extend the right to
- * acknowledge heartbeats, never the right to write. Guards rules `ran_twice` and `ran_cancelled`: at no time do two
- * leaders rely on the same proof, as each knows when the rights of all earlier ones have ended.
+ * acknowledge heartbeats, never the right to write. Guards rule `ran_twice`: a new leader relies on elapsed leases only
+ * from when no earlier one can have acknowledged anything, and the election says from when that is.
  */
 import { log } from "../../transport/log.js";
 import { Actor } from "../../transport/actor.js";
@@ -39,7 +39,7 @@
 export class Elector extends Actor<ElectorMessage> {
   /** Null while this controller does not lead. */
   private ownTerm: OwnTerm | null = null;
-  /** One request to the state store at a time: a read, a renewal, a campaign, or a lease's end. */
+  /** One request to the state store at a time: a read, a renewal, a campaign, or the end of another one's lease. */
   private isRequestInFlight = false;
   private noCampaignUntilMs = -Infinity;
   private readonly timer: CheckTimer;
