--- a/test/fakes/drawnDay.ts
+++ b/test/fakes/drawnDay.ts
@@ -1,48 +1,60 @@
+/** Days drawn from a seed, played to their end and printed. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { draw, longJob, TROUBLES, type Draw } from "./troubles.js";
+import { drawSchedule, type DrawnSchedule } from "./faults/drawnSchedule.js";
+import { inject } from "./faults/fault.js";
+import { submitLongJobs } from "./longJobs.js";
 import { submitMixedWork } from "./mixedWork.js";
 import { formatViolation, type Violation } from "./rules/violations.js";
 import { World } from "./world.js";
 
-export interface Outcome {
-  day: Draw;
-  broken: Violation[];
+/** What became of a drawn day. */
+export interface DrawnDayOutcome {
+  schedule: DrawnSchedule;
+  violations: Violation[];
+  /** Ids of the jobs that were accepted and neither done nor cancelled in the end. */
   unfinished: string[];
 }
 
-/** The day that a seed stands for, from its first submission until long after its last trouble. */
-export async function playDrawn(seed: number): Promise<Outcome> {
-  const rng = xoroshiro128plus(seed);
-  // Its first numbers are much alike for seeds that are near each other.
-  for (let i = 0; i < 8; i++) rng.next();
-  const day = draw(() => (rng.next() >>> 0) / 2 ** 32);
-  const world = new World(seed, day.options);
-  world.net.duplicateShare = day.repeatShare;
+/** The generator's first numbers are much alike for seeds that are near each other. */
+const SKIPPED_NUMBERS = 8;
+const LONG_JOBS = 6;
+
+/** Plays the day that a seed stands for, from its first submission until long after its last fault. */
+export async function playDrawnDay(seed: number): Promise<DrawnDayOutcome> {
+  const generator = xoroshiro128plus(seed);
+  for (let i = 0; i < SKIPPED_NUMBERS; i++) generator.next();
+  const schedule = drawSchedule(() => (generator.next() >>> 0) / 2 ** 32);
+  const world = new World(seed, schedule.options);
+  world.net.duplicateShare = schedule.duplicateShare;
   world.net.duplicateWithinMs = 30_000;
   await world.run(3);
-  for (let i = 0; i < 6; i++) longJob(world, i);
-  for (const { atS, name } of day.troubles) {
-    const { play } = TROUBLES.find((t) => t.name === name)!;
-    world.clock.after(atS * 1000, () => play(world));
-  }
+  submitLongJobs(world, LONG_JOBS);
+  for (const { atS, fault } of schedule.faults) world.clock.after(atS * 1000, () => inject(world, fault));
   world.faultFreeFromMs = world.clock.nowMs() + 110_000;
   await submitMixedWork(world, 60);
   await world.run(50);
-  // Some troubles last longer than the others.
+  // Some faults last longer than the others.
   await world.runUntilFaultFree();
-  // Whoever is still there has been left to run: its users call it off now.
+  // Services that are still there were left to run: their users cancel them now.
   world.users.cancelServices();
   await world.run(115);
-  return { day, broken: world.violations, unfinished: world.users.unfinishedJobs() };
+  return { schedule, violations: world.violations, unfinished: world.users.unfinishedJobs() };
+}
+
+/** Did the day break no rule and leave no job unfinished? */
+export function hasPassed({ violations, unfinished }: DrawnDayOutcome): boolean {
+  return violations.length === 0 && unfinished.length === 0;
 }
 
-export function tell(seed: number, outcome: Outcome): string {
-  const at = outcome.day.troubles.map((t) => `  ${t.atS.toFixed(1)} s  ${t.name}`);
-  const { controllerCount, zones, capacity } = outcome.day.options;
-  return [
-    `seed ${seed}: ${controllerCount} controllers${zones ? ` in zones ${zones.join(" ")}` : ""}, ${capacity} machines, repeats ${outcome.day.repeatShare}`,
-    ...at,
-    ...outcome.broken.map((b) => `  broken: ${formatViolation(b)}`),
-    ...(outcome.unfinished.length > 0 ? [`  not over: ${outcome.unfinished.join(" ")}`] : []),
-  ].join("\n");
+/** The day's world, its faults with their times, and what went wrong; a line each. */
+export function formatOutcome(seed: number, { schedule, violations, unfinished }: DrawnDayOutcome): string {
+  const { controllerCount, zones, capacity } = schedule.options;
+  const zoneText = zones ? ` in zones ${zones.join(" ")}` : "";
+  const lines = [
+    `seed ${seed}: ${controllerCount} controllers${zoneText}, ${capacity} machines, repeats ${schedule.duplicateShare}`,
+  ];
+  for (const { atS, name } of schedule.faults) lines.push(`  ${atS.toFixed(1)} s  ${name}`);
+  for (const violation of violations) lines.push(`  broken: ${formatViolation(violation)}`);
+  if (unfinished.length > 0) lines.push(`  not over: ${unfinished.join(" ")}`);
+  return lines.join("\n");
 }
