--- a/test/fakes/faults/machineFaults.ts
+++ b/test/fakes/faults/machineFaults.ts
@@ -68,13 +68,13 @@
 }
 
 export function injectMachineFault(world: World, fault: MachineFault): void {
-  const { cloud, controllers, fleet, random } = world;
+  const { cloud, fleet, random } = world;
   switch (fault.kind) {
     case "hang":
       for (const worker of pickWorkers(world, fault.machines)) worker.hang(fault.forMs);
       return;
     case "any hang":
-      for (let i = 0; i < fault.count; i++) pickAnyWorker(world)?.hang(drawAmount(random, fault.forMs));
+      hangAny(world, fault.count, fault.forMs);
       return;
     case "loss":
       for (const { machine } of pickWorkers(world, fault.machines)) cloud.loseMachine(machine.id);
@@ -83,21 +83,16 @@
       loseAny(world, fault.count);
       return;
     case "heartbeats ignored":
-      for (const { machine } of pickWorkers(world, fault.machines)) {
-        controllers.dropHeartbeatResponses(machine.id, fault.forMs);
-      }
+      ignoreHeartbeatsOf(world, fault.machines, fault.forMs);
       return;
     case "any heartbeats ignored": {
       const count = drawCount(random, fault.count);
       const forMs = drawAmount(random, fault.forMs);
-      for (const { machine } of pickWorkers(world, { inARow: count })) {
-        controllers.dropHeartbeatResponses(machine.id, forMs);
-      }
+      ignoreHeartbeatsOf(world, { inARow: count }, forMs);
       return;
     }
     case "busy machines miss commands":
-      for (const worker of fleet.workers.values())
-        if (worker.tasks.size > 0) worker.dropCommands(fault.forMs);
+      dropCommandsToBusy(world, fault.forMs);
       return;
     case "faulty": {
       const count = drawCount(random, fault.count);
@@ -124,6 +119,22 @@
   for (let i = 0; i < count; i++) world.cloud.loseMachine(pickAnyWorker(world)?.machine.id ?? "");
 }
 
+function hangAny(world: World, count: number, forMs: Amount): void {
+  for (let i = 0; i < count; i++) pickAnyWorker(world)?.hang(drawAmount(world.random, forMs));
+}
+
+function ignoreHeartbeatsOf(world: World, machines: MachineSelection, forMs: number): void {
+  for (const { machine } of pickWorkers(world, machines)) {
+    world.controllers.dropHeartbeatResponses(machine.id, forMs);
+  }
+}
+
+function dropCommandsToBusy(world: World, forMs: number): void {
+  for (const worker of world.fleet.workers.values()) {
+    if (worker.tasks.size > 0) worker.dropCommands(forMs);
+  }
+}
+
 /** Ids of the machines that are faulty from now on. */
 function makeFaulty(world: World, count: number): string[] {
   const ids = pickWorkers(world, { first: count }).map(({ machine }) => machine.id);
--- a/test/fakes/fleet.ts
+++ b/test/fakes/fleet.ts
@@ -2,13 +2,8 @@
 import type { SimMachine } from "./cloud.js";
 import { jobIdOf, type SimJob } from "./job.js";
 import type { HostFilter } from "./net.js";
-import {
-  SimWorker,
-  type PlacedTask,
-  type SimTask,
-  type SimWorkerOptions,
-  type WorkerEvents,
-} from "./worker.js";
+import type { SimTask } from "./taskRunner.js";
+import { SimWorker, type PlacedTask, type SimWorkerOptions, type WorkerEvents } from "./worker.js";
 
 /** What the fleet needs from its world. */
 export interface SimFleetOptions {
--- a/test/fakes/rules/jobStatus.ts
+++ b/test/fakes/rules/jobStatus.ts
@@ -1,4 +1,4 @@
-/** The rules on what controllers report about a job to its user, and the job's state as its user knows it from them. */
+/** The rules on what controllers report about a job to its user, and the state that its user knows from them. */
 import type { SimClock } from "../clock.js";
 import type { FinalPhase, SimJob } from "../job.js";
 import { CANCEL_S } from "../region.js";
@@ -70,7 +70,7 @@
     if (phase === "withdrawn") this.checkRanCancelledLater(job);
   }
 
-  /** `ran_cancelled`: no task of a cancelled job runs any more, `CANCEL_S` after its user was told. */
+  /** `ran_cancelled`: no task of a cancelled job runs any more, `CANCEL_S` after its cancellation was confirmed. */
   private checkRanCancelledLater(job: SimJob): void {
     this.options.clock.after(CANCEL_S * 1000, () => {
       if (this.options.hasLiveTasks(job.spec.ref)) this.options.report("ran_cancelled", job.spec.ref);
--- a/test/fakes/rules/ruleChecker.ts
+++ b/test/fakes/rules/ruleChecker.ts
@@ -1,11 +1,12 @@
-/** All rules of one simulated world: they are told of each event, and collect what breaks them. */
+/** All rules of one simulated world: the world reports each event here, and breaches are collected. */
 import type { SimClock } from "../clock.js";
 import type { SimCloud } from "../cloud.js";
 import type { SimFleet } from "../fleet.js";
 import { jobOf } from "../fleet.js";
 import type { SimJob } from "../job.js";
 import type { TeamLimits } from "../region.js";
-import type { SimTask, SimWorker } from "../worker.js";
+import type { SimTask } from "../taskRunner.js";
+import type { SimWorker } from "../worker.js";
 import { IdleCapacityRules } from "./idleCapacity.js";
 import { JobStatusRules } from "./jobStatus.js";
 import {
--- a/test/fakes/rules/taskStart.ts
+++ b/test/fakes/rules/taskStart.ts
@@ -1,7 +1,8 @@
 /** The rules that hold at each start of a task, one function each: a checker returns what is wrong, or null. */
 import { CANCEL_S, type TeamLimits, type TeamName } from "../region.js";
 import type { SimJob } from "../job.js";
-import type { PlacedTask, SimTask, SimWorker } from "../worker.js";
+import type { SimTask } from "../taskRunner.js";
+import type { PlacedTask, SimWorker } from "../worker.js";
 
 /** A task that has just started, and what its job looks like at that moment. */
 export interface TaskStart {
@@ -18,7 +19,7 @@
   return others.some((other) => other.task.name === task.name) ? task.name : null;
 }
 
-/** `ran_cancelled`: nothing of a job starts later than `CANCEL_S` after its user was told it is cancelled. */
+/** `ran_cancelled`: nothing of a job starts later than `CANCEL_S` after its cancellation was confirmed. */
 export function checkStartedCancelled({ job, nowMs }: TaskStart): string | null {
   const isLate = job.finalPhase === "withdrawn" && nowMs - job.finalPhaseAtMs > CANCEL_S * 1000;
   return isLate ? job.spec.ref : null;
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,25 +1,12 @@
 /**
- * A fake worker, by its published protocol: it sends heartbeats, carries out commands of the highest fencing token,
- * stops everything when its lease expires, and waits with a gang's tasks until all members have their image.
+ * A fake worker, by its published protocol: it sends heartbeats, carries out commands of the highest fencing token, and
+ * stops everything when its lease expires.
  */
 import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 import type { SimMachine } from "./cloud.js";
-import { jobIdOf } from "./job.js";
 import type { SimNet, SimRequest } from "./net.js";
-
-/** Why a task ended, in the names of the workers' interface. */
-export type TaskExitCause = "done" | "stopped" | "peers" | "error" | "in_use";
-
-/** One attempt of a task on a worker. */
-export interface SimTask {
-  /** `job/index`. */
-  name: string;
-  attempt: number;
-  /** "gathering": it waits for the other members of its gang. */
-  phase: "fetching" | "gathering" | "running" | "exited";
-  cause?: TaskExitCause;
-}
+import { SimTaskRunner, type SimTask, type TaskHost, type WireCommand } from "./taskRunner.js";
 
 /** A task and the worker that it is on. */
 export interface PlacedTask {
@@ -59,13 +46,6 @@
   events: WorkerEvents;
 }
 
-/** A command on the wire. */
-interface WireCommand {
-  verb: string;
-  spore: string;
-  sprout: number;
-}
-
 /** How often the worker looks whether its lease has expired or a heartbeat is due. */
 const CHECK_EVERY_MS = 20;
 /** Least time between two heartbeats that a change of a task brings about. */
@@ -74,14 +54,10 @@
 const RESPONSE_TIMEOUT_MS = 4000;
 /** After a failed heartbeat, the next controller is tried this much later. */
 const RETRY_MS = 1000;
-const FETCH_IMAGE_MS = 700;
 
 /** A worker process on its machine, from boot to `kill`. */
 export class SimWorker {
-  /** By name and attempt; a task that exited stays until its removal is commanded. */
-  readonly tasks = new Map<string, SimTask>();
-  /** Results of completed tasks, which outlive the lease. */
-  private readonly doneTasks = new Set<string>();
+  readonly taskRunner: SimTaskRunner;
   private readonly http: HttpCaller;
   private epoch = 1;
   private tick = 0;
@@ -104,6 +80,7 @@
     this.leaseStartMs = clock.nowMs();
     this.http = net.caller(machine.address, () => this.isAlive);
     this.controllerIndex = Math.floor(random() * controllers.length);
+    this.taskRunner = new SimTaskRunner(this.createTaskHost());
     net.listen(machine.address, (request, respond) => {
       if (this.nowMs() < this.commandsLostUntilMs) return;
       this.whenResponsive(() => respond(this.serve(request)));
@@ -111,11 +88,16 @@
     this.checkPeriodically();
   }
 
+  /** By name and attempt, with those that exited and whose removal was not commanded yet. */
+  get tasks(): ReadonlyMap<string, SimTask> {
+    return this.taskRunner.tasks;
+  }
+
   /** The machine stops, with all that runs on it. */
   kill(): void {
     this.isAlive = false;
     this.options.net.close(this.machine.address);
-    this.endAllTasks();
+    this.taskRunner.endAll();
   }
 
   /** Commands sent straight to it are lost for that time; its heartbeats and their responses are not. */
@@ -128,6 +110,24 @@
     this.hungUntilMs = this.nowMs() + forMs;
   }
 
+  private createTaskHost(): TaskHost {
+    const { clock, events } = this.options;
+    return {
+      clock,
+      isAlive: () => this.isAlive,
+      epoch: () => this.epoch,
+      whenResponsive: (run) => this.whenResponsive(run),
+      onChange: () => this.heartbeatSoon(),
+      onTaskStart: (task) => events.onTaskStart(this, task),
+      onTaskEnd: events.onTaskEnd,
+      runS: events.runS,
+      failsTask: (taskName) => events.failsTask(this, taskName),
+      gangSize: events.gangSize,
+      gangMembers: (jobId, attempt) =>
+        events.gangMembers(jobId, attempt).map(({ worker, task }) => ({ runner: worker.taskRunner, task })),
+    };
+  }
+
   private nowMs(): number {
     return this.options.clock.nowMs();
   }
@@ -138,16 +138,9 @@
     else if (this.isAlive) run();
   }
 
-  private endAllTasks(): void {
-    for (const task of this.tasks.values()) {
-      if (task.phase !== "exited") this.options.events.onTaskEnd(task);
-    }
-    this.tasks.clear();
-  }
-
   private checkLease(): void {
     if (this.nowMs() - this.leaseStartMs <= this.options.leaseS * 1000) return;
-    this.endAllTasks();
+    this.taskRunner.endAll();
     this.epoch++;
     this.leaseStartMs = this.nowMs();
   }
@@ -258,99 +251,6 @@
       this.fencingToken = fencingToken;
       this.heartbeatSoon();
     }
-    for (const command of commands) {
-      const taskName = String(command.spore);
-      const attempt = Number(command.sprout);
-      const key = taskKey(taskName, attempt);
-      const task = this.tasks.get(key);
-      if (command.verb === "start" && !task)
-        this.startTask(key, { name: taskName, attempt, phase: "fetching" });
-      else if (command.verb === "stop" && task && task.phase !== "exited") this.exitTask(key, "stopped");
-      else if (command.verb === "reap" && task?.phase === "exited") this.tasks.delete(key);
-    }
+    this.taskRunner.execute(commands);
   }
-
-  private startTask(key: string, task: SimTask): void {
-    this.heartbeatSoon();
-    const isInUse = [...this.tasks.values()].some(
-      (other) => other.name === task.name && other.phase !== "exited",
-    );
-    if (isInUse) {
-      this.tasks.set(key, { ...task, phase: "exited", cause: "in_use" });
-      return;
-    }
-    this.tasks.set(key, task);
-    this.options.events.onTaskStart(this, task);
-    const { epoch } = this;
-    this.options.clock.after(FETCH_IMAGE_MS, () =>
-      this.whenResponsive(() => {
-        if (this.isCurrent(key, task) && epoch === this.epoch) this.onImageReady(key, task);
-      }),
-    );
-  }
-
-  private isCurrent(key: string, task: SimTask): boolean {
-    return this.isAlive && this.tasks.get(key) === task && task.phase !== "exited";
-  }
-
-  private onImageReady(key: string, task: SimTask): void {
-    const { events } = this.options;
-    this.heartbeatSoon();
-    if (this.doneTasks.has(task.name)) {
-      this.exitTask(key, "done");
-      return;
-    }
-    if (events.failsTask(this, task.name)) {
-      this.exitTask(key, "error");
-      return;
-    }
-    task.phase = "gathering";
-    const jobId = jobIdOf(task.name);
-    const members = events.gangMembers(jobId, task.attempt);
-    if (members.length < events.gangSize(jobId)) return;
-    for (const member of members) member.worker.runTask(member.task);
-  }
-
-  private runTask(task: SimTask): void {
-    const key = taskKey(task.name, task.attempt);
-    task.phase = "running";
-    this.heartbeatSoon();
-    const runS = this.options.events.runS(task.name);
-    if (runS === null) return;
-    this.options.clock.after(runS * 1000, () =>
-      this.whenResponsive(() => {
-        if (this.isCurrent(key, task) && task.phase === "running") this.completeTask(key, task);
-      }),
-    );
-  }
-
-  /** A gang completes together; one that has lost a member doesn't. */
-  private completeTask(key: string, task: SimTask): void {
-    const { events } = this.options;
-    const jobId = jobIdOf(task.name);
-    const size = events.gangSize(jobId);
-    const members =
-      size === 1 ? [{ worker: this as SimWorker, task }] : events.gangMembers(jobId, task.attempt);
-    if (members.length < size) {
-      this.exitTask(key, "peers");
-      return;
-    }
-    for (const member of members) {
-      member.worker.exitTask(taskKey(member.task.name, member.task.attempt), "done");
-    }
-  }
-
-  private exitTask(key: string, cause: TaskExitCause): void {
-    const task = this.tasks.get(key);
-    if (!task) return;
-    task.phase = "exited";
-    task.cause = cause;
-    if (cause === "done") this.doneTasks.add(task.name);
-    this.options.events.onTaskEnd(task);
-    this.heartbeatSoon();
-  }
-}
-
-function taskKey(name: string, attempt: number): string {
-  return `${name}#${attempt}`;
 }
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -27,7 +27,8 @@
 import type { Violation } from "./rules/violations.js";
 import { SimStateStore } from "./stateStore.js";
 import { SimUsers } from "./users.js";
-import type { SimTask, SimWorker } from "./worker.js";
+import type { SimTask } from "./taskRunner.js";
+import type { SimWorker } from "./worker.js";
 
 export interface WorldOptions {
   /** Number of controllers; 3 unless given. */
