--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -90,7 +90,7 @@
 
   start(payload: string | undefined, timeoutMs: number): void {
     const { address, request } = this;
-    this.timer = setTimeout(() => this.fail(`no answer from ${address} within ${timeoutMs} ms`), timeoutMs);
+    this.timer = setTimeout(() => this.fail(`no response from ${address} within ${timeoutMs} ms`), timeoutMs);
     request.on("socket", (socket) => {
       if (!socket.connecting) this.isConnected = true;
       else socket.once("connect", () => (this.isConnected = true));
@@ -104,7 +104,7 @@
     const parts: Buffer[] = [];
     response.on("data", (part: Buffer) => parts.push(part));
     response.on("error", (error) => this.fail(`${this.address}: ${error.message}`));
-    response.on("aborted", () => this.fail(`${this.address}: answer cut short`));
+    response.on("aborted", () => this.fail(`${this.address}: response cut short`));
     response.on("end", () => this.finish(response.statusCode ?? 0, Buffer.concat(parts).toString("utf8")));
   }
 
@@ -114,7 +114,7 @@
     try {
       if (text !== "") body = JSON.parse(text) as unknown;
     } catch {
-      this.fail(`${this.address}: answer is not JSON`);
+      this.fail(`${this.address}: response is not JSON`);
       return;
     }
     this.settle();
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -1,50 +1,116 @@
 import assert from "node:assert/strict";
+import * as http from "node:http";
 import * as net from "node:net";
 import test from "node:test";
+import { HttpClient, NoResponseError, type ClientResponse } from "../src/transport/httpClient.js";
 import { startHttpServer } from "../src/transport/httpServer.js";
 
-/** Sends raw bytes, half-closes or resets, and returns the answer's first line. */
-function raw(port: number, text: string, end: "end" | "reset"): Promise<string> {
+type Ending = "end" | "reset";
+
+/** Sends these bytes, then half-closes or resets the connection, and resolves with the response's first line. */
+function sendRaw(port: number, bytes: string, ending: Ending): Promise<string> {
   return new Promise((resolve) => {
-    let got = "";
+    let received = "";
     const socket = net.connect(port, "127.0.0.1", () => {
-      socket.write(text);
-      if (end === "reset") setImmediate(() => socket.resetAndDestroy());
+      socket.write(bytes);
+      if (ending === "reset") setImmediate(() => socket.resetAndDestroy());
       else socket.end();
     });
-    socket.on("data", (d: Buffer) => (got += d.toString()));
+    socket.on("data", (part: Buffer) => (received += part.toString()));
     socket.on("error", () => undefined);
-    socket.on("close", () => resolve(got.split("\r\n")[0] ?? ""));
+    socket.on("close", () => resolve(received.split("\r\n")[0] ?? ""));
   });
 }
 
-test("whatever arrives on a connection is answered, and the server goes on", async () => {
+const MAX_BODY_BYTES = 100;
+const HEADERS = "Host: x\r\nConnection: close";
+
+function post(path: string, contentLength: number, body: string): string {
+  return `POST ${path} HTTP/1.1\r\n${HEADERS}\r\nContent-Length: ${contentLength}\r\n\r\n${body}`;
+}
+
+/** A body whose length no header announces. */
+function postChunked(body: string): string {
+  const chunk = `${body.length.toString(16)}\r\n${body}\r\n`;
+  return `POST / HTTP/1.1\r\n${HEADERS}\r\nTransfer-Encoding: chunked\r\n\r\n${chunk}0\r\n\r\n`;
+}
+
+test("whatever arrives on a connection gets a response, and the server goes on", async () => {
   const server = await startHttpServer({
     listen: "127.0.0.1:0",
-    maxBodyBytes: 100,
+    maxBodyBytes: MAX_BODY_BYTES,
     maxConnections: 50,
     handler: (request, reply) => {
       if (request.path === "/throw") throw new Error("on purpose");
       reply({ status: 200, body: { length: request.body.length } });
-      reply({ status: 500, body: "a second answer does nothing" });
+      reply({ status: 500, body: "a second response does nothing" });
     },
     onError: () => undefined,
   });
   const { port } = server.address() as net.AddressInfo;
-  const post = (path: string, length: number, body: string): string =>
-    `POST ${path} HTTP/1.1\r\nHost: x\r\nContent-Length: ${length}\r\nConnection: close\r\n\r\n${body}`;
-  const chunked = `POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\nc8\r\n${"x".repeat(200)}\r\n0\r\n\r\n`;
-  const cases: [string, string, "end" | "reset", RegExp][] = [
-    ["a request", post("/", 3, "abc"), "end", /^HTTP\/1\.1 200/],
-    ["a body over the limit, announced", post("/", 101, "x".repeat(101)), "end", /^HTTP\/1\.1 413/],
-    ["a body over the limit, not announced", chunked, "end", /^HTTP\/1\.1 413/],
-    ["no HTTP at all", "hello there\r\n\r\n", "end", /^HTTP\/1\.1 400/],
-    ["half a request, then the end", post("/", 50, "abc"), "end", /^(HTTP\/1\.1 400.*)?$/],
-    ["half a request, then a reset", post("/", 50, "abc"), "reset", /^$/],
-    ["a handler that fails", post("/throw", 0, ""), "end", /^HTTP\/1\.1 500/],
-    ["a request after all that", post("/", 0, ""), "end", /^HTTP\/1\.1 200/],
+  const oversized = "x".repeat(MAX_BODY_BYTES + 1);
+  const cases: { name: string; bytes: string; ending?: Ending; firstLine: RegExp }[] = [
+    { name: "a request", bytes: post("/", 3, "abc"), firstLine: /^HTTP\/1\.1 200/ },
+    {
+      name: "a body over the limit, announced",
+      bytes: post("/", oversized.length, oversized),
+      firstLine: /^HTTP\/1\.1 413/,
+    },
+    {
+      name: "a body over the limit, not announced",
+      bytes: postChunked("x".repeat(2 * MAX_BODY_BYTES)),
+      firstLine: /^HTTP\/1\.1 413/,
+    },
+    { name: "no HTTP at all", bytes: "hello there\r\n\r\n", firstLine: /^HTTP\/1\.1 400/ },
+    {
+      name: "half a request, then the end",
+      bytes: post("/", 50, "abc"),
+      firstLine: /^(HTTP\/1\.1 400.*)?$/,
+    },
+    { name: "half a request, then a reset", bytes: post("/", 50, "abc"), ending: "reset", firstLine: /^$/ },
+    { name: "a handler that throws", bytes: post("/throw", 0, ""), firstLine: /^HTTP\/1\.1 500/ },
+    { name: "a request after all that", bytes: post("/", 0, ""), firstLine: /^HTTP\/1\.1 200/ },
   ];
-  for (const [name, text, end, want] of cases) assert.match(await raw(port, text, end), want, name);
+  for (const { name, bytes, ending = "end", firstLine } of cases) {
+    assert.match(await sendRaw(port, bytes, ending), firstLine, name);
+  }
   server.closeAllConnections();
   server.close();
 });
+
+async function startBareServer(onRequest: http.RequestListener): Promise<{ address: string; close(): void }> {
+  const server = http.createServer(onRequest);
+  await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
+  return {
+    address: `127.0.0.1:${(server.address() as net.AddressInfo).port}`,
+    close: () => {
+      server.closeAllConnections();
+      server.close();
+    },
+  };
+}
+
+test("the client resolves with any whole response, and says otherwise whether the request may have been sent", async () => {
+  const server = await startBareServer((request, response) => {
+    if (request.url === "/echo") request.pipe(response.writeHead(404));
+    else if (request.url === "/empty") response.end();
+    else if (request.url === "/garbage") response.end("{");
+    else if (request.url === "/cut")
+      response.writeHead(200, { "Content-Length": 10 }).write("{", () => response.destroy());
+  });
+  const client = new HttpClient(1);
+  const call = (path: string, body?: unknown): Promise<ClientResponse> =>
+    client.call(server.address, "POST", path, body, path === "/silence" ? 50 : 10_000);
+  assert.deepEqual(await call("/echo", { key: "value" }), { status: 404, body: { key: "value" } });
+  assert.deepEqual(await call("/empty"), { status: 200, body: null });
+  for (const path of ["/garbage", "/cut", "/silence"]) {
+    await assert.rejects(call(path), (error) => error instanceof NoResponseError && !error.neverSent, path);
+  }
+  server.close();
+  await assert.rejects(
+    call("/echo"),
+    (error) => error instanceof NoResponseError && error.neverSent,
+    "a refused connection",
+  );
+  client.close();
+});
