--- a/src/bookkeeping/transaction.ts
+++ b/src/bookkeeping/transaction.ts
@@ -99,11 +99,11 @@
         put: keys.final(job.id),
         value: encodeFinal({ isCancelled: job.isCancelled, tasks: job.spec.tasks }),
       },
-      { drop: keys.head(job.id) },
+      { delete: keys.head(job.id) },
     );
     for (const chunk of now) {
       transaction.conditions.push({ key: keys.chunk(job.id, chunk.index), version: chunk.version });
-      transaction.changes.push({ drop: keys.chunk(job.id, chunk.index) });
+      transaction.changes.push({ delete: keys.chunk(job.id, chunk.index) });
     }
     transaction.parts.push({ job, chunk: null, attempts: [], done: null });
     bytes += 400 + now.length * 120;
@@ -112,7 +112,7 @@
   for (const [key, version] of garbage) {
     if (transaction.changes.length >= Math.max(1, limits.changes >> 1) || !fits(1, 120)) break;
     transaction.conditions.push({ key, version });
-    transaction.changes.push({ drop: key });
+    transaction.changes.push({ delete: key });
     transaction.obsoleteKeys.push(key);
   }
   return transaction;
--- a/src/coordination/provisioning/cloudCalls.ts
+++ b/src/coordination/provisioning/cloudCalls.ts
@@ -56,8 +56,7 @@
 
 const CALLS: { [Kind in CallKind]: CallDefinition<Kind> } = {
   create: {
-    request: ({ order: { request, type, zone, spot, count } }) =>
-      post(cloudPaths.createMachines, encodeCreateMachines(request, type, zone, spot, count)),
+    request: ({ order }) => post(cloudPaths.createMachines, encodeCreateMachines(order)),
     // The order is closed even if the names can't be read: its machines appear in heartbeats and lists.
     result: ({ order }, body) => ({
       kind: "event",
--- a/src/coordination/records/jobRecords.ts
+++ b/src/coordination/records/jobRecords.ts
@@ -88,7 +88,7 @@
   /** The job is among the final ones. Chunks that the transaction did not delete are left to later ones. */
   removeFinalized(job: Job, transaction: Transaction | null): void {
     const deleted = new Set(
-      (transaction?.changes ?? []).map((change) => ("drop" in change ? change.drop : "")),
+      (transaction?.changes ?? []).map((change) => ("delete" in change ? change.delete : "")),
     );
     for (const chunk of job.chunks.values()) {
       const key = keys.chunk(job.id, chunk.index);
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -74,15 +74,23 @@
   };
 }
 
-/** Idempotent: the cloud creates the machines of one `requestId` once, however often it is sent. */
-export function encodeCreateMachines(
-  requestId: string,
-  type: string,
-  zone: string,
-  spot: boolean,
-  count: number,
-): JsonObject {
-  return { plea: requestId, breed: type, patch: zone, windfall: spot, howMany: count };
+export interface CreateMachinesRequest {
+  /** Idempotency key: the cloud creates the machines of one request once, however often it is sent. */
+  request: string;
+  type: string;
+  zone: string;
+  spot: boolean;
+  count: number;
+}
+
+export function encodeCreateMachines({
+  request,
+  type,
+  zone,
+  spot,
+  count,
+}: CreateMachinesRequest): JsonObject {
+  return { plea: request, breed: type, patch: zone, windfall: spot, howMany: count };
 }
 
 /** The names of the machines created; null when the response can't be read. */
--- a/src/protocol/peers/messages.ts
+++ b/src/protocol/peers/messages.ts
@@ -60,7 +60,7 @@
   /** The grant counts from this time on the asking process's clock. */
   requestedAtMs: number;
   durationMs: number;
-  /** For workers of the asker's own zone, while the whole zone is cut off; 0: no longer than the rest. */
+  /** For workers of the requesting controller's zone, while the whole zone is cut off; 0: no longer than the rest. */
   zoneDurationMs: number;
   /** On the leader's clock. */
   issuedAtMs: number;
--- a/src/protocol/stateStore.ts
+++ b/src/protocol/stateStore.ts
@@ -16,7 +16,7 @@
 }
 
 /** What a compare-and-swap does to one key; a key with a lease is deleted when the lease ends. */
-export type Change = { put: string; value: unknown; lease?: number } | { drop: string };
+export type Change = { put: string; value: unknown; lease?: number } | { delete: string };
 
 /** A compare-and-swap is executed only if each of these keys still has this version. */
 export interface VersionCondition {
@@ -58,7 +58,7 @@
 };
 
 function encodeChange(change: Change): JsonObject {
-  if ("drop" in change) return { drop: change.drop };
+  if ("delete" in change) return { drop: change.delete };
   const put = { set: change.put, data: change.value };
   return change.lease === undefined ? put : { ...put, tenure: change.lease };
 }
--- a/src/transport/eventLoopLag.ts
+++ b/src/transport/eventLoopLag.ts
@@ -6,7 +6,7 @@
 const SAMPLE_WEIGHT = 0.2;
 const MAX_SAMPLE_WEIGHT = 0.8;
 
-/** How far this process is behind its work: how late its timers fire, as a moving average. */
+/** How overloaded this process is: by how much its timers fire late, as a moving average. */
 export class EventLoopLagMeter {
   lagMs = 0;
   private timer: Timer | null = null;
--- a/test/transaction.test.ts
+++ b/test/transaction.test.ts
@@ -21,7 +21,7 @@
     this.revision++;
     for (const change of transaction.changes) {
       if ("put" in change) this.versions.set(change.put, this.revision);
-      else this.versions.delete(change.drop);
+      else this.versions.delete(change.delete);
     }
     return [];
   }
