--- a/src/coordination/commands/peerBatches.ts
+++ b/src/coordination/commands/peerBatches.ts
@@ -1,6 +1,7 @@
 /** Collects what comes up for the same controller within a moment, so that it shares one frame. */
 import type { Clock } from "../../transport/clock.js";
 
+/** How batches are made up, and who sends them. */
 export interface PeerBatchesOptions<Item> {
   clock: Clock;
   /** A batch is sent this long after its first item. */
--- a/src/coordination/heartbeats/heartbeatDecision.ts
+++ b/src/coordination/heartbeats/heartbeatDecision.ts
@@ -23,6 +23,7 @@
   sinceMs: number;
 }
 
+/** What to do with a heartbeat, with what the response has to name. */
 export type HeartbeatDecision =
   /** `byZoneLease`: only the lease on our own zone allows it, so that no other controller is named to the worker. */
   | { readonly kind: "acknowledge"; readonly byZoneLease: boolean }
--- a/test/fakes/machineTerm.ts
+++ b/test/fakes/machineTerm.ts
@@ -39,6 +39,7 @@
   deadlineS: null,
 };
 
+/** The parts of a term that decide on attempts, each the real one; commands are only recorded. */
 export class MachineTerm {
   readonly clock = new SimClock();
   readonly jobs = new JobRegistry();
@@ -91,6 +92,7 @@
     return machine;
   }
 
+  /** An array of two tasks, unless changed, that the term knows. */
   job(change: Partial<JobSpec> = {}): Job {
     const job = new Job({ ...ARRAY_OF_TWO, ...change }, new Date(0), 1, null, this.clock.nowMs());
     this.jobs.add(job);
