--- a/src/coordination/consolidation/consolidationRounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -1,149 +1,99 @@
 import type { Attempt } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
-import type { Operator } from "../../settings/operator.js";
 import type { Clock } from "../../transport/clock.js";
 import type { Attempts } from "../term/attempts.js";
-import type { JobRegistry } from "../term/jobRegistry.js";
-import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { TermLease } from "../term/termLease.js";
 import type { WriteRequests } from "../term/writeQueue.js";
-import { allowsPlacement, zoneRoom } from "../scheduling/fitting.js";
-import { planOffloads, type MeasuredMachine } from "./offloading.js";
-import { loadOf, loadLevelOf } from "./machineLoad.js";
-import { planMerges, type LoadedTask, type Move } from "./machineMerging.js";
+import { takeSnapshot, type ConsolidationSnapshotContext } from "./consolidationSnapshot.js";
+import type { MeasuredMachine, Move } from "./loadedMachine.js";
+import { planMerges } from "./machineMerging.js";
+import { planOffloads } from "./offloading.js";
+
+const MS_PER_S = 1000;
+/** A new leader waits this many heartbeat intervals, so that every worker's tasks are known. */
+const SETTLE_HEARTBEATS = 2;
+/** A moved task's job prefers the machine that it moves to for this long, in milliseconds. */
+const PREFERENCE_MS = 5000;
+/** … and avoids the machine that it leaves for this many rounds. */
+const AVOIDED_ROUNDS = 2;
 
 /** What the rounds use of the term. */
-export interface ConsolidationRoundsContext {
+export interface ConsolidationRoundsContext extends ConsolidationSnapshotContext {
   clock: Clock;
   lease: TermLease;
-  jobs: JobRegistry;
-  machines: MachineRegistry;
   attempts: Attempts;
   writes: WriteRequests;
-  operator: Operator;
-  /** Workers' time between heartbeats, in seconds. */
-  heartbeatS: number;
 }
 
-/** Owns the rounds of consolidation: their moves from the decision, through the write, to the stops. */
+/** A machine that consolidation wants a job's next start on, until that time. */
+export interface PreferredMachine {
+  machine: string;
+  untilMs: number;
+}
+
+/**
+ * Owns the rounds of consolidation. A round takes a snapshot, decides on moves and has them written; only once they are
+ * durable do they begin. There is no new round before the last one's moves have begun.
+ */
 export class ConsolidationRounds {
+  /** Moves of the last round that are not known to be durable yet; null: none. */
   plannedMoves: Move[] | null = null;
-  private attemptsToMove = new Map<number, Attempt>();
   lastRoundMs: number;
-  readonly preferredMachines = new Map<string, { machine: string; untilMs: number }>();
+  /** By job. */
+  readonly preferredMachines = new Map<string, PreferredMachine>();
+  private attemptsToMove = new Map<number, Attempt>();
 
   constructor(private readonly context: ConsolidationRoundsContext) {
     this.lastRoundMs = context.clock.nowMs();
   }
 
-  /** The job is over: no move of it is wanted any longer. */
+  /** The job is over: none of its tasks moves any longer. */
   forgetJob(id: string): void {
     this.preferredMachines.delete(id);
   }
 
-  runRound(now: number): void {
-    this.lastRoundMs = now;
-    if (this.plannedMoves || now - this.context.lease.startedMs < 2 * this.context.heartbeatS * 1000) return;
-    const { highLoadShare, overloadShare, maxMovesPerRound, roundIntervalS } = this.context.operator;
-    const refs: Attempt[] = [];
-    const machines: MeasuredMachine[] = [];
-    for (const machine of this.context.machines.values()) {
-      if (machine.state !== "up" || !machine.type) continue;
-      const requestedLoad = loadOf(machine.used, machine.type);
-      // Most machines are in the inner rings and use what they were asked to: neither squeeze nor release looks there.
-      if (
-        loadLevelOf(requestedLoad, highLoadShare) !== "low" &&
-        machine.listedTasks.length <= machine.attempts.size
-      )
-        continue;
-      // A late report would move tasks that have already left.
-      const fresh = now - machine.lastContactMs < this.context.heartbeatS * 1500;
-      const tasks: LoadedTask[] = [];
-      let whole = fresh;
-      const measuredUse = { cpus: 0, gpus: 0, memoryGb: 0 };
-      for (const task of machine.listedTasks) {
-        const spec = this.context.jobs.get(task.jobId)?.spec;
-        if (task.phase === "exited" || !spec) continue;
-        measuredUse.cpus += spec.cpus;
-        measuredUse.gpus += spec.gpus;
-        measuredUse.memoryGb += spec.memoryGb;
-      }
-      for (const attempt of machine.attempts) {
-        const { spec } = attempt.job;
-        if (attempt.stop || attempt.phase === null) whole = false;
-        const young =
-          attempt.runningMs === null
-            ? attempt.phase === "fetching"
-            : now - attempt.runningMs < roundIntervalS * 1000;
-        const isMovable =
-          whole &&
-          attempt.stop === null &&
-          spec.kind !== "service" &&
-          (spec.kind !== "gang" || spec.tasks === 1) &&
-          (spec.checkpointS > 0 ? attempt.phase === "running" : young);
-        tasks.push({
-          ref: refs.push(attempt) - 1,
-          jobId: attempt.job.id,
-          cpus: spec.cpus,
-          gpus: spec.gpus,
-          memoryGb: spec.memoryGb,
-          isMovable,
-          canMoveTo: (name) => this.mayMove(attempt, name),
-        });
-      }
-      machines.push({
-        name: machine.name,
-        capacity: machine.type,
-        tasks,
-        acceptsTasks: whole && !machine.isCordoned && machine.interruptionAtMs === null,
-        measuredLoad: loadOf(measuredUse, machine.type),
-        requestedLoad,
-      });
-    }
-    const moves = planMerges(machines, { degrad: highLoadShare, moveCap: maxMovesPerRound });
-    if (moves.length < maxMovesPerRound) {
-      moves.push(
-        ...planOffloads(machines, {
-          degrad: highLoadShare,
-          violate: overloadShare,
-          moveCap: maxMovesPerRound - moves.length,
-        }),
-      );
-    }
+  /** Decides on the moves of a round, and asks for the write that makes them durable. */
+  runRound(nowMs: number): void {
+    this.lastRoundMs = nowMs;
+    const { lease, heartbeatS, writes } = this.context;
+    if (this.plannedMoves || nowMs - lease.startedMs < SETTLE_HEARTBEATS * heartbeatS * MS_PER_S) return;
+    const { machines, attempts } = takeSnapshot(this.context, nowMs);
+    const moves = this.planMoves(machines);
     if (moves.length === 0) return;
     this.plannedMoves = moves;
-    this.attemptsToMove = new Map(moves.map((mv) => [mv.ref, refs[mv.ref]!]));
-    this.context.writes.requestWrite(0);
-  }
-
-  private mayMove(attempt: Attempt, name: string): boolean {
-    const machine = this.context.machines.get(name);
-    const { spec } = attempt.job;
-    if (
-      !machine?.type ||
-      machine.isCordoned ||
-      !allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)
-    )
-      return false;
-    const zones = new Map<string, number>();
-    for (const b of attempt.job.attempts)
-      if (b !== attempt) zones.set(b.machine.zone, (zones.get(b.machine.zone) ?? 0) + 1);
-    return zoneRoom(spec, zones, machine.zone) > 0;
+    this.attemptsToMove = new Map(moves.map(({ ref }) => [ref, attempts[ref]!]));
+    writes.requestWrite(0);
   }
 
-  /** The round's moves are durable: now they begin, each as a stop here and a start there. */
+  /** The round's moves are durable: they begin, each as a stop on one machine and a start, in time, on the other. */
   beginMoves(): void {
     const moves = this.plannedMoves ?? [];
     this.plannedMoves = null;
-    const now = this.context.clock.nowMs();
-    for (const mv of moves) {
-      const attempt = this.attemptsToMove.get(mv.ref);
-      if (!attempt || attempt.stop || !attempt.machine.attempts.has(attempt)) continue;
-      log.info(`moving ${attempt.job.id}/${attempt.task} from ${mv.from} to ${mv.to}`);
-      this.preferredMachines.set(attempt.job.id, { machine: mv.to, untilMs: now + 5000 });
-      attempt.job.avoidedUntilMs.set(mv.from, now + this.context.operator.roundIntervalS * 2000);
-      this.context.attempts.stopGracefully(attempt);
+    const nowMs = this.context.clock.nowMs();
+    for (const move of moves) {
+      const attempt = this.attemptsToMove.get(move.ref);
+      if (attempt && !attempt.stop && attempt.machine.attempts.has(attempt)) {
+        this.beginMove(attempt, move, nowMs);
+      }
     }
     this.attemptsToMove.clear();
   }
+
+  /** Emptying machines comes first; what is left of the round's moves relieves overloaded ones. */
+  private planMoves(machines: MeasuredMachine[]): Move[] {
+    const { highLoadShare, overloadShare, maxMovesPerRound } = this.context.operator;
+    const moves = planMerges(machines, { highLoadShare, maxMoves: maxMovesPerRound });
+    const maxMoves = maxMovesPerRound - moves.length;
+    if (maxMoves > 0) moves.push(...planOffloads(machines, { highLoadShare, overloadShare, maxMoves }));
+    return moves;
+  }
+
+  private beginMove(attempt: Attempt, { from, to }: Move, nowMs: number): void {
+    const { job, task } = attempt;
+    const { operator, attempts } = this.context;
+    log.info(`moving ${job.id}/${task} from ${from} to ${to}`);
+    this.preferredMachines.set(job.id, { machine: to, untilMs: nowMs + PREFERENCE_MS });
+    job.avoidedUntilMs.set(from, nowMs + operator.roundIntervalS * (AVOIDED_ROUNDS * MS_PER_S));
+    attempts.stopGracefully(attempt);
+  }
 }
--- a/src/coordination/consolidation/machineLoad.ts
+++ b/src/coordination/consolidation/machineLoad.ts
@@ -1,27 +1,31 @@
 /**
- * The three rings of the paper's section 3.3: outer [0, degrad/2), secondary [degrad/2, degrad),
- * inner [degrad, 1].
+ * Machines are compared by one number, their load. The paper's section 3.3 divides them by it into three rings around the
+ * full machines: outer [0, degrad/2), secondary [degrad/2, degrad) and inner [degrad, 1]; here they are called levels,
+ * and `degrad` is the setting `highLoadShare`. Pure.
  */
+import type { Resources } from "../../bookkeeping/resources.js";
+
+/** The paper's rings: outer, secondary and inner. */
 export type LoadLevel = "low" | "medium" | "high";
 
-export interface Capacity {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-}
+/** Sums are off by less than this: rounding must not move a machine that is exactly on a bound. */
+export const LOAD_TOLERANCE = 1e-9;
 
-/** One share compares machines: that of whatever they are fullest in. */
-export function loadOf(used: Capacity, total: Capacity): number {
-  const share = (a: number, b: number): number => (b > 0 ? a / b : 0);
+/** The share of its capacity that a machine uses of the resource of which it uses the largest share. */
+export function loadOf(used: Resources, capacity: Resources): number {
   return Math.max(
-    share(used.cpus, total.cpus),
-    share(used.gpus, total.gpus),
-    share(used.memoryGb, total.memoryGb),
+    shareOf(used.cpus, capacity.cpus),
+    shareOf(used.gpus, capacity.gpus),
+    shareOf(used.memoryGb, capacity.memoryGb),
   );
 }
 
-export function loadLevelOf(load: number, degrad: number): LoadLevel {
-  // Rounding of sums must not move a machine that stands exactly on a bound.
-  if (load < degrad / 2 - 1e-9) return "low";
-  return load < degrad - 1e-9 ? "medium" : "high";
+function shareOf(used: number, capacity: number): number {
+  return capacity > 0 ? used / capacity : 0;
+}
+
+/** The level of a load; `highLoadShare`, the paper's `degrad`, is where the high level begins. */
+export function loadLevelOf(load: number, highLoadShare: number): LoadLevel {
+  if (load < highLoadShare / 2 - LOAD_TOLERANCE) return "low";
+  return load < highLoadShare - LOAD_TOLERANCE ? "medium" : "high";
 }
--- a/src/coordination/consolidation/machineMerging.ts
+++ b/src/coordination/consolidation/machineMerging.ts
@@ -1,100 +1,100 @@
-import { loadOf, loadLevelOf, type Capacity } from "./machineLoad.js";
+/**
+ * The paper's squeeze (section 3.4): again and again the two machines with the lightest loads are merged, while the merged
+ * load stays low. A machine is emptied whole or left alone: half of it frees nothing. Pure; works on copies.
+ */
+import type { Resources } from "../../bookkeeping/resources.js";
+import type { LoadedMachine, Move } from "./loadedMachine.js";
+import { loadLevelOf, loadOf } from "./machineLoad.js";
 
-export interface LoadedTask {
-  ref: number;
-  jobId: string;
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-  /** It saves its progress, or has run under one round. */
-  isMovable: boolean;
-  /** May it run on that machine, given everything its job asks for and where its other tasks are? */
-  canMoveTo: (machine: string) => boolean;
+export interface MergeLimits {
+  /** The paper's `degrad`: merged machines stay under half of it. */
+  highLoadShare: number;
+  /** Moves of tasks at the most. */
+  maxMoves: number;
 }
 
-export interface LoadedMachine {
-  name: string;
-  capacity: Capacity;
-  tasks: LoadedTask[];
-  /** May take tasks. */
-  acceptsTasks: boolean;
+interface WeighedMachine {
+  machine: LoadedMachine;
+  load: number;
 }
 
-export interface Move {
-  ref: number;
-  from: string;
-  to: string;
+/** Moves that empty lightly loaded machines onto others, so that the empty ones can be released. */
+export function planMerges(machines: LoadedMachine[], limits: MergeLimits): Move[] {
+  const moves: Move[] = [];
+  const candidates = lightMachines(machines, limits.highLoadShare);
+  while (candidates.length >= 2 && moves.length < limits.maxMoves) {
+    const [lightest, next] = candidates as [WeighedMachine, WeighedMachine];
+    const merged = mergePair(lightest.machine, next.machine, moves, limits);
+    // What can't be merged with the next lightest is no partner for those after it either.
+    candidates.splice(0, merged ? 2 : 1);
+    if (merged) insertIfLight(candidates, merged, limits.highLoadShare);
+  }
+  return moves;
 }
 
-interface Loaded {
-  m: LoadedMachine;
-  load: number;
+/** Copies of the machines with work whose load is low, the lightest first. */
+function lightMachines(machines: LoadedMachine[], highLoadShare: number): WeighedMachine[] {
+  return machines
+    .map((machine) => weigh({ ...machine, tasks: [...machine.tasks] }))
+    .filter(({ machine, load }) => machine.tasks.length > 0 && loadLevelOf(load, highLoadShare) === "low")
+    .sort(byLoad);
 }
 
-function lighter(a: Loaded, b: Loaded): number {
-  return a.load - b.load || (a.m.name < b.m.name ? -1 : 1);
+/** Empties one of the two onto the other, the first by preference; returns the one that holds all, or null. */
+function mergePair(
+  first: LoadedMachine,
+  second: LoadedMachine,
+  moves: Move[],
+  limits: MergeLimits,
+): LoadedMachine | null {
+  const maxMoves = limits.maxMoves - moves.length;
+  if (canMerge(first, second, maxMoves, limits.highLoadShare)) return moveAllTasks(first, second, moves);
+  if (canMerge(second, first, maxMoves, limits.highLoadShare)) return moveAllTasks(second, first, moves);
+  return null;
 }
 
-export interface MergeLimits {
-  degrad: number;
-  moveCap: number;
+function canMerge(from: LoadedMachine, to: LoadedMachine, maxMoves: number, highLoadShare: number): boolean {
+  if (!to.acceptsTasks || from.tasks.length > maxMoves) return false;
+  if (!from.tasks.every((task) => task.isMovable && task.canMoveTo(to.name))) return false;
+  const staying = resourcesUsed(to);
+  const arriving = resourcesUsed(from);
+  const merged: Resources = {
+    cpus: staying.cpus + arriving.cpus,
+    gpus: staying.gpus + arriving.gpus,
+    memoryGb: staying.memoryGb + arriving.memoryGb,
+  };
+  return loadLevelOf(loadOf(merged, to.capacity), highLoadShare) === "low";
 }
 
-function used(machine: LoadedMachine): Capacity {
-  const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
-  for (const task of machine.tasks) {
-    sum.cpus += task.cpus;
-    sum.gpus += task.gpus;
-    sum.memoryGb += task.memoryGb;
-  }
-  return sum;
+function moveAllTasks(from: LoadedMachine, to: LoadedMachine, moves: Move[]): LoadedMachine {
+  for (const { ref } of from.tasks) moves.push({ ref, from: from.name, to: to.name });
+  to.tasks.push(...from.tasks);
+  from.tasks = [];
+  return to;
 }
 
-/**
- * The paper's squeeze (section 3.4): again and again the two lightest loads of the outer ring are merged, while
- * the merged machine stays under degrad/2. A machine is emptied whole or left alone: half a move frees nothing.
- * Pure; works on copies.
- */
-export function planMerges(machines: LoadedMachine[], limits: MergeLimits): Move[] {
-  const moves: Move[] = [];
-  const outer = machines
-    .map((m) => ({ ...m, tasks: [...m.tasks] }))
-    .map((m) => ({ m, load: loadOf(used(m), m.capacity) }))
-    .filter((x) => x.m.tasks.length > 0 && loadLevelOf(x.load, limits.degrad) === "low")
-    .sort(lighter);
-  while (outer.length >= 2 && moves.length < limits.moveCap) {
-    const [first, second] = outer as [Loaded, Loaded];
-    if (merge(first.m, second.m))
-      outer.splice(0, 2, { m: second.m, load: loadOf(used(second.m), second.m.capacity) });
-    else if (merge(second.m, first.m))
-      outer.splice(0, 2, { m: first.m, load: loadOf(used(first.m), first.m.capacity) });
-    else {
-      // What can't be emptied is no partner for the next lightest either.
-      outer.shift();
-      continue;
-    }
-    // The merged machine takes its place among the others, if it is still in their ring.
-    const [merged] = outer.splice(0, 1) as [Loaded];
-    if (loadLevelOf(merged.load, limits.degrad) !== "low") continue;
-    const at = outer.findIndex((x) => lighter(merged, x) < 0);
-    outer.splice(at < 0 ? outer.length : at, 0, merged);
-  }
-  return moves;
+/** Puts a merged machine in its place among the candidates, if its load is still low. */
+function insertIfLight(candidates: WeighedMachine[], machine: LoadedMachine, highLoadShare: number): void {
+  const merged = weigh(machine);
+  if (loadLevelOf(merged.load, highLoadShare) !== "low") return;
+  const heavier = candidates.findIndex((other) => byLoad(merged, other) < 0);
+  candidates.splice(heavier < 0 ? candidates.length : heavier, 0, merged);
+}
+
+function weigh(machine: LoadedMachine): WeighedMachine {
+  return { machine, load: loadOf(resourcesUsed(machine), machine.capacity) };
+}
 
-  function merge(from: LoadedMachine, to: LoadedMachine): boolean {
-    if (!to.acceptsTasks || moves.length + from.tasks.length > limits.moveCap) return false;
-    if (!from.tasks.every((t) => t.isMovable && t.canMoveTo(to.name))) return false;
-    const sum = used(to);
-    const extra = used(from);
-    const merged = {
-      cpus: sum.cpus + extra.cpus,
-      gpus: sum.gpus + extra.gpus,
-      memoryGb: sum.memoryGb + extra.memoryGb,
-    };
-    if (loadLevelOf(loadOf(merged, to.capacity), limits.degrad) !== "low") return false;
-    for (const t of from.tasks) moves.push({ ref: t.ref, from: from.name, to: to.name });
-    to.tasks.push(...from.tasks);
-    from.tasks = [];
-    return true;
+function byLoad(left: WeighedMachine, right: WeighedMachine): number {
+  return left.load - right.load || (left.machine.name < right.machine.name ? -1 : 1);
+}
+
+function resourcesUsed(machine: LoadedMachine): Resources {
+  const used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
+  for (const task of machine.tasks) {
+    used.cpus += task.cpus;
+    used.gpus += task.gpus;
+    used.memoryGb += task.memoryGb;
   }
+  return used;
 }
--- a/src/coordination/consolidation/offloading.ts
+++ b/src/coordination/consolidation/offloading.ts
@@ -1,46 +1,62 @@
-import { loadOf, loadLevelOf } from "./machineLoad.js";
-import type { LoadedMachine, LoadedTask, Move } from "./machineMerging.js";
+/**
+ * The paper's release (section 3.4): a machine whose measured load is above what its tasks ask for, and above `violate`,
+ * loses its largest task that restarts cheaply to a machine whose load is low. Never one member of a gang alone: those
+ * are not offered as movable. Pure.
+ */
+import type { LoadedTask, MeasuredMachine, Move } from "./loadedMachine.js";
+import { LOAD_TOLERANCE, loadLevelOf, loadOf } from "./machineLoad.js";
 
-export interface MeasuredMachine extends LoadedMachine {
-  /** Load by what the worker reports, which can be more than what was asked for. */
-  measuredLoad: number;
-  requestedLoad: number;
+export interface OffloadLimits {
+  /** The paper's `degrad`: no machine is filled beyond it. */
+  highLoadShare: number;
+  /** The paper's `violate`: the measured load above which a machine is relieved. */
+  overloadShare: number;
+  /** Moves of tasks at the most. */
+  maxMoves: number;
 }
 
-/**
- * The paper's release (section 3.4): a machine whose measured use exceeds what its tasks ask for and passes
- * violate loses its largest task that restarts cheaply, to a light machine of the outer ring. Never one member
- * of a gang alone: those are not offered as movable. Pure.
- */
-export function planOffloads(
-  machines: MeasuredMachine[],
-  limits: { degrad: number; violate: number; moveCap: number },
-): Move[] {
+/** At most one move off each overloaded machine, and at most one to each other machine. */
+export function planOffloads(machines: MeasuredMachine[], limits: OffloadLimits): Move[] {
   const moves: Move[] = [];
-  const taken = new Set<string>();
+  const usedTargets = new Set<string>();
   for (const machine of machines) {
-    if (moves.length >= limits.moveCap) break;
-    if (machine.measuredLoad <= machine.requestedLoad + 1e-9 || machine.measuredLoad <= limits.violate)
-      continue;
-    const size = (t: LoadedTask): number => loadOf(t, machine.capacity);
-    const able = machine.tasks.filter((t) => t.isMovable).sort((a, b) => size(b) - size(a));
-    const light = machines
-      .filter(
-        (o) =>
-          o !== machine &&
-          o.acceptsTasks &&
-          !taken.has(o.name) &&
-          loadLevelOf(o.measuredLoad, limits.degrad) === "low",
-      )
-      .sort((a, b) => a.measuredLoad - b.measuredLoad);
-    search: for (const task of able) {
-      for (const to of light) {
-        if (!task.canMoveTo(to.name) || to.measuredLoad + loadOf(task, to.capacity) > limits.degrad) continue;
-        moves.push({ ref: task.ref, from: machine.name, to: to.name });
-        taken.add(to.name);
-        break search;
-      }
-    }
+    if (moves.length >= limits.maxMoves) break;
+    if (!isOverloaded(machine, limits.overloadShare)) continue;
+    const targets = machines.filter(
+      (other) =>
+        other !== machine && !usedTargets.has(other.name) && isLightTarget(other, limits.highLoadShare),
+    );
+    const move = offload(machine, targets, limits.highLoadShare);
+    if (!move) continue;
+    moves.push(move);
+    usedTargets.add(move.to);
   }
   return moves;
 }
+
+function isOverloaded(machine: MeasuredMachine, overloadShare: number): boolean {
+  return (
+    machine.measuredLoad > machine.requestedLoad + LOAD_TOLERANCE && machine.measuredLoad > overloadShare
+  );
+}
+
+function isLightTarget(machine: MeasuredMachine, highLoadShare: number): boolean {
+  return machine.acceptsTasks && loadLevelOf(machine.measuredLoad, highLoadShare) === "low";
+}
+
+/** The largest task that fits on a target, to the lightest target that it fits on; null: there is none. */
+function offload(machine: MeasuredMachine, targets: MeasuredMachine[], highLoadShare: number): Move | null {
+  const sizeOf = (task: LoadedTask): number => loadOf(task, machine.capacity);
+  const largestFirst = machine.tasks
+    .filter((task) => task.isMovable)
+    .sort((left, right) => sizeOf(right) - sizeOf(left));
+  const lightestFirst = targets.sort((left, right) => left.measuredLoad - right.measuredLoad);
+  for (const task of largestFirst) {
+    const target = lightestFirst.find(
+      (other) =>
+        task.canMoveTo(other.name) && other.measuredLoad + loadOf(task, other.capacity) <= highLoadShare,
+    );
+    if (target) return { ref: task.ref, from: machine.name, to: target.name };
+  }
+  return null;
+}
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -1,17 +1,18 @@
 import assert from "node:assert/strict";
 import test from "node:test";
+import type {
+  LoadedMachine,
+  LoadedTask,
+  MeasuredMachine,
+  Move,
+} from "../src/coordination/consolidation/loadedMachine.js";
 import { loadOf, loadLevelOf } from "../src/coordination/consolidation/machineLoad.js";
-import { planOffloads, type MeasuredMachine } from "../src/coordination/consolidation/offloading.js";
-import {
-  planMerges,
-  type LoadedMachine,
-  type LoadedTask,
-  type Move,
-} from "../src/coordination/consolidation/machineMerging.js";
+import { planMerges } from "../src/coordination/consolidation/machineMerging.js";
+import { planOffloads } from "../src/coordination/consolidation/offloading.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
-test("rings: [0, degrad/2) outer, [degrad/2, degrad) secondary, the rest inner", () => {
-  for (const [load, ring] of [
+test("a load is low below half of the high-load share, medium below all of it, and high from there on", () => {
+  for (const [load, level] of [
     [0, "low"],
     [0.39, "low"],
     [0.4, "medium"],
@@ -20,11 +21,11 @@
     [0.8, "high"],
     [1, "high"],
   ] as const) {
-    assert.equal(loadLevelOf(load, 0.8), ring, `load ${load}`);
+    assert.equal(loadLevelOf(load, 0.8), level, `load ${load}`);
   }
 });
 
-test("load: the share of whatever a machine is fullest in", () => {
+test("a load is the share of the resource of which a machine uses the largest share", () => {
   const total = { cpus: 10, gpus: 0, memoryGb: 100 };
   assert.equal(loadOf({ cpus: 2, gpus: 0, memoryGb: 50 }, total), 0.5);
   assert.equal(loadOf({ cpus: 9, gpus: 0, memoryGb: 50 }, total), 0.9);
@@ -49,11 +50,11 @@
 }
 const routes = (moves: { from: string; to: string }[]): string[] => moves.map((m) => `${m.from}>${m.to}`);
 
-test("squeeze: tables", () => {
+test("lightly loaded machines are emptied onto one another (the paper's squeeze)", () => {
   const cases: { name: string; machines: LoadedMachine[]; cap?: number; want: string[] }[] = [
     {
       // The paper's figure 2: loads of 4, 6, 10 and 26 under a bound of 33; all but the last step fit there too.
-      name: "merges the two lightest again and again while under degrad/2",
+      name: "merges the two lightest again and again while under half of the high-load share",
       machines: [
         machine("a", [task(4)]),
         machine("b", [task(6)]),
@@ -62,9 +63,13 @@
       ],
       want: ["a>b", "b>c", "b>c"],
     },
-    { name: "stops at degrad/2", machines: [machine("a", [task(20)]), machine("b", [task(20)])], want: [] },
     {
-      name: "leaves the secondary ring alone",
+      name: "stops at half of the high-load share",
+      machines: [machine("a", [task(20)]), machine("b", [task(20)])],
+      want: [],
+    },
+    {
+      name: "leaves machines of medium load alone",
       machines: [machine("a", [task(5)]), machine("b", [task(45)])],
       want: [],
     },
@@ -104,14 +109,19 @@
   ];
   for (const c of cases) {
     assert.deepEqual(
-      routes(planMerges(c.machines, { degrad: c.name.includes("again") ? 0.66 : 0.8, moveCap: c.cap ?? 4 })),
+      routes(
+        planMerges(c.machines, {
+          highLoadShare: c.name.includes("again") ? 0.66 : 0.8,
+          maxMoves: c.cap ?? 4,
+        }),
+      ),
       c.want,
       c.name,
     );
   }
 });
 
-test("release: tables", () => {
+test("overloaded machines lose a task to a lightly loaded one (the paper's release)", () => {
   const measured = (m: LoadedMachine, use: number, asked: number): MeasuredMachine => ({
     ...m,
     measuredLoad: use,
@@ -121,19 +131,19 @@
   const lighter = measured(machine("lighter", []), 0, 0);
   const cases: { name: string; hot: MeasuredMachine; others?: MeasuredMachine[]; want: string[] }[] = [
     {
-      name: "relieves a machine past violate that uses more than was asked",
+      name: "relieves an overloaded machine that uses more than was asked",
       hot: measured(machine("hot", [task(30), task(20)]), 0.95, 0.5),
       want: ["hot>lighter"],
     },
     { name: "not for what was asked for", hot: measured(machine("hot", [task(95)]), 0.95, 0.95), want: [] },
-    { name: "not below violate", hot: measured(machine("hot", [task(30)]), 0.85, 0.3), want: [] },
+    { name: "not below the overload share", hot: measured(machine("hot", [task(30)]), 0.85, 0.3), want: [] },
     {
-      name: "never a gang's member or anything dear",
+      name: "never a member of a gang or anything that is expensive to restart",
       hot: measured(machine("hot", [task(30, { isMovable: false })]), 0.95, 0.3),
       want: [],
     },
     {
-      name: "to no machine that it would fill past degrad",
+      name: "to no machine that it would fill past the high-load share",
       hot: measured(machine("hot", [task(85)]), 0.95, 0.85),
       want: [],
     },
@@ -146,16 +156,16 @@
   ];
   for (const c of cases) {
     const moves = planOffloads([c.hot, ...(c.others ?? [light, lighter])], {
-      degrad: 0.8,
-      violate: 0.89,
-      moveCap: 4,
+      highLoadShare: 0.8,
+      overloadShare: 0.89,
+      maxMoves: 4,
     });
     assert.deepEqual(routes(moves), c.want, c.name);
   }
   const big = task(30);
   const hot = measured(machine("hot", [task(20), big]), 0.95, 0.5);
   assert.equal(
-    planOffloads([hot, lighter], { degrad: 0.8, violate: 0.89, moveCap: 4 })[0]?.ref,
+    planOffloads([hot, lighter], { highLoadShare: 0.8, overloadShare: 0.89, maxMoves: 4 })[0]?.ref,
     big.ref,
     "the largest first",
   );
@@ -189,8 +199,8 @@
   for (const { seed, machines, ...want } of cases) {
     const random = seededRandom(seed);
     const loaded = Array.from({ length: machines }, (_, i) => randomMachine(random, `host-${i}`));
-    const merges = planMerges(loaded, { degrad: 0.8, moveCap: 60 });
-    const offloads = planOffloads(loaded, { degrad: 0.8, violate: 0.89, moveCap: 60 });
+    const merges = planMerges(loaded, { highLoadShare: 0.8, maxMoves: 60 });
+    const offloads = planOffloads(loaded, { highLoadShare: 0.8, overloadShare: 0.89, maxMoves: 60 });
     const listing = (moves: Move[]): string => `${moves.length} ${digestOf(moves)}`;
     assert.deepEqual({ merges: listing(merges), offloads: listing(offloads) }, want, `seed ${seed}`);
   }
