--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -1,5 +1,10 @@
 import assert from "node:assert/strict";
 import test from "node:test";
+import { Machine, type Attempt } from "../src/bookkeeping/workload.js";
+import {
+  takeSnapshot,
+  type ConsolidationSnapshotContext,
+} from "../src/coordination/consolidation/consolidationSnapshot.js";
 import type {
   LoadedMachine,
   LoadedTask,
@@ -9,6 +14,8 @@
 import { loadOf, loadLevelOf } from "../src/coordination/consolidation/machineLoad.js";
 import { planMerges } from "../src/coordination/consolidation/machineMerging.js";
 import { planOffloads } from "../src/coordination/consolidation/offloading.js";
+import type { JobSpec, MachineType } from "../src/protocol/model.js";
+import { operatorDefaults } from "../src/settings/operator.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
 test("a load is low below half of the high-load share, medium below all of it, and high from there on", () => {
@@ -205,3 +212,66 @@
     assert.deepEqual({ merges: listing(merges), offloads: listing(offloads) }, want, `seed ${seed}`);
   }
 });
+
+const HEARTBEAT_S = 1;
+const NOW_MS = 100_000;
+
+type TestAttempt = Pick<Attempt, "phase" | "runningMs" | "stop">;
+
+/** A machine of 100 cpus that is up, with one attempt of such a job on it. */
+function occupiedMachine(spec: Partial<JobSpec>, state: Partial<TestAttempt>, contactAgoMs: number): Machine {
+  const type = { name: "m", ...capacity } as MachineType;
+  const occupied = new Machine("host-1", type, "a", false, 0, 0);
+  occupied.state = "up";
+  occupied.lastContactMs = NOW_MS - contactAgoMs;
+  const job = { id: "job-1", spec: { kind: "array", tasks: 1, checkpointS: 0, ...task(10), ...spec } };
+  const attempt = { job, machine: occupied, phase: "running", runningMs: NOW_MS, stop: null, ...state };
+  occupied.attempts.add(attempt as unknown as Attempt);
+  return occupied;
+}
+
+test("a round moves only what restarts cheaply, from machines whose tasks are known", () => {
+  const stop = { sinceMs: 0, graceS: 0, sent: false, lastSentMs: 0 };
+  const old = { runningMs: NOW_MS - 60_000 };
+  type Case = [
+    string,
+    Partial<JobSpec>,
+    Partial<TestAttempt>,
+    number,
+    { movable: boolean; accepts: boolean },
+  ];
+  const cases: Case[] = [
+    ["a task that has just begun", {}, {}, 0, { movable: true, accepts: true }],
+    [
+      "a task that fetches its image",
+      {},
+      { phase: "fetching", runningMs: null },
+      0,
+      { movable: true, accepts: true },
+    ],
+    ["a task that waits", {}, { phase: "waiting", runningMs: null }, 0, { movable: false, accepts: true }],
+    ["a task that has run for long", {}, old, 0, { movable: false, accepts: true }],
+    ["one with checkpoints", { checkpointS: 5 }, old, 0, { movable: true, accepts: true }],
+    ["one that saves", { checkpointS: 5 }, { ...old, phase: "saving" }, 0, { movable: false, accepts: true }],
+    ["a service", { kind: "service" }, {}, 0, { movable: false, accepts: true }],
+    ["a member of a gang", { kind: "gang", tasks: 2 }, {}, 0, { movable: false, accepts: true }],
+    ["a gang of one", { kind: "gang" }, {}, 0, { movable: true, accepts: true }],
+    ["a task that is being stopped", {}, { stop }, 0, { movable: false, accepts: false }],
+    ["a task that was never seen there", {}, { phase: null }, 0, { movable: false, accepts: false }],
+    ["a heartbeat of 1.4 intervals ago", {}, {}, 1400, { movable: true, accepts: true }],
+    ["a heartbeat of 1.5 intervals ago", {}, {}, 1500, { movable: false, accepts: false }],
+  ];
+  for (const [name, spec, state, contactAgoMs, want] of cases) {
+    const machines = [occupiedMachine(spec, state, contactAgoMs)];
+    const context = {
+      jobs: new Map(),
+      machines: new Map(machines.map((m) => [m.name, m])),
+      operator: operatorDefaults,
+      heartbeatS: HEARTBEAT_S,
+    } as unknown as ConsolidationSnapshotContext;
+    const snapshot = takeSnapshot(context, NOW_MS);
+    const [seen] = snapshot.machines;
+    assert.deepEqual({ movable: seen?.tasks[0]?.isMovable, accepts: seen?.acceptsTasks }, want, name);
+    assert.deepEqual(snapshot.attempts, [...machines[0]!.attempts], name);
+  }
+});
