--- a/test/large.test.ts
+++ b/test/large.test.ts
@@ -2,8 +2,8 @@
 import test from "node:test";
 import { World } from "./fakes/world.js";
 
-/** A job of many chunks runs through a change of leader, is told done once, and leaves no key but its last one. */
-test("an array of several chunks, with the leader lost in between", async () => {
+/** A job of many chunks survives a failover, ends once, and leaves no key in the state store but its final record's. */
+test("an array of several chunks is done though the leader crashes in between", async () => {
   const world = new World(5);
   await world.run(3);
   const job = world.users.submit({ ref: "job-000001", spores: 600, cores: 0.5, memoryGb: 0.5 }, 1);
@@ -13,11 +13,11 @@
   assert.equal(job.finalPhase, "done");
   assert.equal(job.doneTasks.size, 600);
   await world.run(10);
-  const left = [...world.stateStore.entries.keys()].filter((k) => k.includes("job-000001"));
-  assert.deepEqual(left, ["f/job-000001"]);
+  const remainingKeys = [...world.stateStore.entries.keys()].filter((key) => key.includes("job-000001"));
+  assert.deepEqual(remainingKeys, ["f/job-000001"]);
 });
 
-test("an array of 100,000 tasks begins, and is gone once it is cancelled", async () => {
+test("an array of 100,000 tasks begins, and leaves nothing but its final record once it is cancelled", async () => {
   const world = new World(6);
   await world.run(3);
   const job = world.users.submit({ ref: "job-000002", spores: 100_000, cores: 0.5, memoryGb: 0.5 }, 5);
@@ -31,7 +31,7 @@
   assert.equal(job.finalPhase, "withdrawn");
   assert.equal(world.fleet.liveTasks("job-000002").length, 0);
   assert.deepEqual(
-    [...world.stateStore.entries.keys()].filter((k) => k.includes("job-000002")),
+    [...world.stateStore.entries.keys()].filter((key) => key.includes("job-000002")),
     ["f/job-000002"],
   );
   assert.deepEqual(world.violations, []);
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -7,11 +7,13 @@
 import type { Job } from "../src/bookkeeping/workload.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
-let since = 0;
+let acceptedAtMs = 0;
+
+/** An array's entry; entries are accepted in the order in which they are made. */
 function entry(
   id: string,
   remainingWork: number,
-  duesS: number[],
+  targetsLeftS: number[],
   extra: Partial<QueueEntry> = {},
 ): QueueEntry {
   return {
@@ -27,18 +29,27 @@
     taskLimit: Infinity,
     unfinishedTasks: 10,
     demand: remainingWork,
-    targetsLeftS: duesS,
+    targetsLeftS,
     taskS: 1,
     remainingWork,
-    acceptedAtMs: since++,
+    acceptedAtMs: acceptedAtMs++,
     ...extra,
   };
 }
 
-test("the order of service", () => {
-  const cases: { name: string; entries: QueueEntry[]; want: string }[] = [
+interface OrderCase {
+  name: string;
+  entries: QueueEntry[];
+  /** The ids in the order of service. */
+  want: string;
+  /** The task limits that are set, by id; all others stay without a limit. */
+  limits?: Record<string, number>;
+}
+
+test("jobs are served by priority, guarantee and targets, and no job starves", () => {
+  const cases: OrderCase[] = [
     {
-      name: "priority first, then the guaranteed",
+      name: "priority first, then the guaranteed jobs",
       entries: [
         entry("low", 1, [], { priority: 0 }),
         entry("mid", 1, []),
@@ -48,7 +59,7 @@
       want: "top sure mid low",
     },
     {
-      name: "what is late goes first, the oldest first, in its part of the room, and no further",
+      name: "late jobs first, the oldest in front, but only in their part of the room",
       entries: [
         entry("new", 10, [90]),
         entry("old", 30, [], { isLate: true, demand: 2 }),
@@ -57,9 +68,11 @@
         entry("last", 20, [95], { isLate: true }),
       ],
       want: "older old new last huge",
+      // Of 3.5 in a room of 10, the older takes 2, and the old one's 10 tasks of 2 in all keep to the rest.
+      limits: { old: 7 },
     },
     {
-      name: "what has not begun for too long begins with a little, whatever its priority, the longest wait first",
+      name: "a start that is overdue comes first with a few tasks, whatever its priority, the longest wait in front",
       entries: [
         entry("top", 1, [], { priority: 3 }),
         entry("begin", 900, [], { priority: 0, isStarving: true, isStartOverdue: true }),
@@ -67,52 +80,53 @@
         entry("waits", 1, [], { priority: 0 }),
       ],
       want: "before begin top waits",
+      limits: { before: 2, begin: 2 },
     },
     {
-      name: "of the highest priority there is, in its turn",
+      name: "a job of the highest priority waits for its turn, even if its start is overdue",
       entries: [entry("due", 1, [50]), entry("over", 900, [], { isStartOverdue: true })],
       want: "due over",
     },
-    { name: "without targets, as they came", entries: [entry("a", 90, []), entry("b", 10, [])], want: "a b" },
     {
-      name: "when all fit, the nearest due first",
+      name: "jobs without targets in the order of arrival",
+      entries: [entry("a", 90, []), entry("b", 10, [])],
+      want: "a b",
+    },
+    {
+      name: "when all fit, the nearest target first",
       entries: [entry("late", 100, [90]), entry("soon", 100, [30])],
       want: "soon late",
     },
     {
       // Least time left first would make all three late.
-      name: "when they don't fit, the largest steps back and the others are in time",
+      name: "when they don't fit, the largest steps back and the others are on time",
       entries: [entry("huge", 400, [45]), entry("a", 200, [50]), entry("b", 200, [50])],
       want: "a b huge",
     },
     {
-      name: "who stepped back is tried at its looser target before what is past all targets",
+      name: "a job that stepped back is tried at its looser target before those past all targets",
       entries: [entry("over", 10, [-5, -1]), entry("huge", 400, [30, 100]), entry("a", 200, [30, 60])],
       want: "a huge over",
     },
     {
-      name: "a task longer than the time left can't be in time",
+      name: "a task longer than the time left can't be on time",
       entries: [entry("long", 10, [20], { taskS: 25 }), entry("a", 10, [90])],
       want: "a long",
     },
     {
-      name: "past all targets, the smallest first",
+      name: "of jobs past all targets, the smallest first",
       entries: [entry("big", 50, [-9]), entry("small", 5, [-3])],
       want: "small big",
     },
   ];
-  for (const c of cases) {
-    const got = serveOrder(
-      c.entries,
+  for (const { name, entries, want, limits = {} } of cases) {
+    const order = serveOrder(
+      entries,
       () => 10,
       () => Infinity,
     );
-    assert.equal(got.map((e) => e.id).join(" "), c.want, c.name);
-    for (const e of got)
-      if (e.id.startsWith("be")) assert.equal(e.taskLimit, 2, "no more than two tasks out of turn");
-    // Of 3.5 in a room of 10, the older takes 2, and the old one's 10 tasks of 2 in all keep to the rest.
-    const old = got.find((e) => e.id === "old");
-    if (old) assert.equal(old.taskLimit, 7, "the last of the late ones keeps to what is left of the part");
+    assert.equal(order.map(({ id }) => id).join(" "), want, name);
+    for (const { id, taskLimit } of order) assert.equal(taskLimit, limits[id] ?? Infinity, `${name}: ${id}`);
   }
 });
 
@@ -163,13 +177,13 @@
       (priority, gpus) => room / (1 + priority) / (gpus ? 4 : 1),
       (team) => (team === "one" ? room / 3 : room),
     );
-    const result = order.map((e) => [e.id, e.taskLimit, e.fairShareTasks]);
+    const result = order.map(({ id, taskLimit, fairShareTasks }) => [id, taskLimit, fairShareTasks]);
     assert.equal(digestOf(result), want, `seed ${seed}`);
   }
 });
 
 test("targets come from the job's own deadline and its class's objectives", () => {
-  const o = (kind: string, className: string | null, withinS: number | null, times = 1) => ({
+  const objective = (kind: string, className: string | null, withinS: number | null, times = 1) => ({
     kind,
     className,
     withinS,
@@ -177,11 +191,11 @@
     times,
   });
   const objectives = [
-    o("deadline", "a", null, 1),
-    o("deadline", "a", null, 1.5),
-    o("finished", "b", 200),
-    o("wait", "b", 5),
-    o("finished", "b", 300),
+    objective("deadline", "a", null, 1),
+    objective("deadline", "a", null, 1.5),
+    objective("finished", "b", 200),
+    objective("wait", "b", 5),
+    objective("finished", "b", 300),
   ];
   assert.deepEqual(completionTargetsS("a", 40, objectives), [40, 60]);
   assert.deepEqual(completionTargetsS("a", null, objectives), []);
