--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -203,7 +203,7 @@
   }
 
   private start(name: string): void {
-    const incarnation = `life-${++this.incarnations}`;
+    const incarnation = `incarnation-${++this.incarnations}`;
     const process = new ControllerProcess(name, incarnation, this.options, (from, peer, frame) =>
       this.sendFrame(from, peer, frame),
     );
--- a/test/fakes/faults/controllerFaults.ts
+++ b/test/fakes/faults/controllerFaults.ts
@@ -3,6 +3,7 @@
 import { drawAmount, type Amount } from "./amounts.js";
 import { pickControllers, type ControllerGroup } from "./targets.js";
 
+/** A fault of controllers; the functions below describe each kind. */
 export type ControllerFault = { family: "controllers" } & (
   | { kind: "crash"; target: ControllerGroup; restartMs: Amount; isRestartShared: boolean }
   | { kind: "freeze"; target: ControllerGroup; forMs: Amount; isExpected: boolean }
@@ -40,6 +41,7 @@
   return { family: "controllers", kind: "peer links down", forMs };
 }
 
+/** Brings the fault about now; a target is drawn before its time. */
 export function injectControllerFault(world: World, fault: ControllerFault): void {
   const { controllers, clock, random } = world;
   switch (fault.kind) {
--- a/test/fakes/faults/drawnSchedule.ts
+++ b/test/fakes/faults/drawnSchedule.ts
@@ -89,6 +89,7 @@
   ["instant boots", disturbBoots({ upTo: 5 }, { delayFactor: 0.1, neverShare: 0 }, upTo(40_000))],
 ];
 
+/** A fault, the name it is printed with, and its time on the day. */
 export interface ScheduledFault {
   atS: number;
   name: string;
--- a/test/fakes/faults/machineFaults.ts
+++ b/test/fakes/faults/machineFaults.ts
@@ -4,6 +4,7 @@
 import { drawAmount, drawCount, type Amount, type Count } from "./amounts.js";
 import { pickAnyWorker, pickWorkers, type MachineSelection } from "./targets.js";
 
+/** A fault of machines; the functions below describe each kind. */
 export type MachineFault = { family: "machines" } & (
   | { kind: "hang"; machines: MachineSelection; forMs: number }
   | { kind: "any hang"; count: number; forMs: Amount }
@@ -67,6 +68,7 @@
   return { family: "machines", kind: "disturbed boots", lostCount, boots, forMs };
 }
 
+/** Brings the fault about now; a count is drawn before its time. */
 export function injectMachineFault(world: World, fault: MachineFault): void {
   const { cloud, fleet, random } = world;
   switch (fault.kind) {
--- a/test/fakes/faults/networkFaults.ts
+++ b/test/fakes/faults/networkFaults.ts
@@ -14,6 +14,7 @@
   type MachineSelection,
 } from "./targets.js";
 
+/** A fault of the network; the functions below describe each kind. */
 export type NetworkFault = { family: "network" } & (
   | { kind: "controller isolated"; target: ControllerTarget; from: HostGroups; forMs: Amount }
   | { kind: "zone isolated"; zone: ZoneSide; from: HostGroups; forMs: Amount }
@@ -78,6 +79,7 @@
   return { family: "network", kind: "slow links", extraDelayMs };
 }
 
+/** Brings the fault about now; a target or count is drawn before its time. */
 export function injectNetworkFault(world: World, fault: NetworkFault): void {
   const { net, random } = world;
   switch (fault.kind) {
--- a/test/fakes/faults/serviceFaults.ts
+++ b/test/fakes/faults/serviceFaults.ts
@@ -4,6 +4,7 @@
 import { drawAmount, type Amount } from "./amounts.js";
 import { pickController, type ControllerTarget } from "./targets.js";
 
+/** A fault of the state store or the cloud; the functions below describe each kind. */
 export type ServiceFault = { family: "services" } & (
   | { kind: "state store outage"; forMs: Amount }
   | { kind: "state store refuses"; target: ControllerTarget; forMs: Amount }
@@ -12,6 +13,7 @@
   | { kind: "cloud outage"; forMs: Amount }
 );
 
+/** The state store answers every request with an error. */
 export function stateStoreOutage(forMs: Amount): ServiceFault {
   return { family: "services", kind: "state store outage", forMs };
 }
@@ -31,10 +33,12 @@
   return { family: "services", kind: "delayed transactions", share, forMs };
 }
 
+/** The cloud's interface answers every request with an error. */
 export function cloudOutage(forMs: Amount): ServiceFault {
   return { family: "services", kind: "cloud outage", forMs };
 }
 
+/** Brings the fault about now; a target or share is drawn before its time. */
 export function injectServiceFault(world: World, fault: ServiceFault): void {
   const { stateStore, cloud, random } = world;
   switch (fault.kind) {
--- a/test/fakes/faults/targets.ts
+++ b/test/fakes/faults/targets.ts
@@ -22,6 +22,7 @@
   return names[target.index % names.length]!;
 }
 
+/** In the order of their names; draws one random number for "any", none otherwise. */
 export function pickControllers(world: World, group: ControllerGroup): string[] {
   if (group === "all") return world.controllers.names;
   if (group === "followers") return world.controllers.followers;
@@ -55,11 +56,13 @@
   return workers[Math.floor(world.random() * workers.length)];
 }
 
+/** Kinds of hosts, distinguished by their addresses. */
 export type HostGroup = "state store" | "cloud" | "users" | "controllers" | "workers";
 
 /** Hosts of these groups alone, or of all groups but these. */
 export type HostGroups = { only: HostGroup[] } | { allBut: HostGroup[] };
 
+/** Accepts the hosts of these groups. */
 export function hostFilter(groups: HostGroups): HostFilter {
   if ("only" in groups) return (host) => groups.only.includes(groupOf(host));
   return (host) => !groups.allBut.includes(groupOf(host));
@@ -78,6 +81,7 @@
   return (host) => addresses.has(host);
 }
 
+/** The addresses of these controllers. */
 export function controllerHosts(names: string[]): string[] {
   return names.map(controllerAddress);
 }
--- a/test/fakes/faults/userFaults.ts
+++ b/test/fakes/faults/userFaults.ts
@@ -6,6 +6,7 @@
 import { drawAmount, drawCount, type Amount, type Count } from "./amounts.js";
 import { pickController, type ControllerTarget } from "./targets.js";
 
+/** What users do wrongly; the functions below describe each kind. */
 export type UserFault = { family: "users" } & (
   | { kind: "cancellations"; count: Count; hangMs: Amount; through: ControllerTarget | null }
   | { kind: "requests at completion"; share: number; forMs: number }
@@ -101,6 +102,7 @@
   [400, { seedstock: undefined }],
 ];
 
+/** Brings it about now; a count is drawn before its time. */
 export function injectUserFault(world: World, fault: UserFault): void {
   const { random } = world;
   switch (fault.kind) {
--- a/test/fakes/fleet.ts
+++ b/test/fakes/fleet.ts
@@ -15,6 +15,7 @@
   onTaskEnd: (task: SimTask) => void;
 }
 
+/** Starts and ends workers with their machines, and finds tasks on them. */
 export class SimFleet {
   /** By machine id, in order of their boot. */
   readonly workers = new Map<string, SimWorker>();
--- a/test/fakes/region.ts
+++ b/test/fakes/region.ts
@@ -40,6 +40,7 @@
   { name: "accel", cores: 8, gpus: 2, memoryGb: 64, price: 3, spotPrice: 1, bootS: 4, zones: BOTH_ZONES },
 ];
 
+/** The two teams of the region. */
 export type TeamName = "one" | "two";
 
 /** What each team's tasks may use at most. */
--- a/test/fakes/rules/ruleChecker.ts
+++ b/test/fakes/rules/ruleChecker.ts
@@ -29,6 +29,7 @@
   faultFreeFromMs: () => number;
 }
 
+/** Runs each rule at its moment; a world has one. */
 export class RuleChecker {
   /** Every breach so far, in order of time. */
   readonly violations: Violation[] = [];
@@ -50,6 +51,7 @@
     new IdleCapacityRules({ clock, jobs, fleet, cloud, limits, faultFreeFromMs, report }).start();
   }
 
+  /** Records a breach. */
   report(rule: RuleName, detail: string): void {
     this.violations.push({ rule, detail, atMs: this.options.clock.nowMs() });
   }
--- a/test/fakes/rules/violations.ts
+++ b/test/fakes/rules/violations.ts
@@ -25,6 +25,7 @@
 /** Takes breaches from the checkers. */
 export type ReportViolation = (rule: RuleName, detail: string) => void;
 
+/** The breach in one line. */
 export function formatViolation({ rule, detail }: Violation): string {
   return `${rule} ${detail}`;
 }
--- a/test/fakes/taskRunner.ts
+++ b/test/fakes/taskRunner.ts
@@ -52,6 +52,7 @@
 
 const FETCH_IMAGE_MS = 700;
 
+/** Holds one worker's tasks; other runners' gang members are reached through the host. */
 export class SimTaskRunner {
   /** By name and attempt; a task that exited stays until its removal is commanded. */
   readonly tasks = new Map<string, SimTask>();
@@ -60,6 +61,7 @@
 
   constructor(private readonly host: TaskHost) {}
 
+  /** Carries out commands in their order; those that no longer apply are ignored. */
   execute(commands: WireCommand[]): void {
     for (const command of commands) {
       const name = String(command.spore);
--- a/test/fakes/users.ts
+++ b/test/fakes/users.ts
@@ -64,6 +64,7 @@
   stashS: 0,
 };
 
+/** All users together; each job has one that queries it for ever. */
 export class SimUsers {
   /** Services that are accepted from now on are cancelled at once. */
   cancelsNewServices = false;
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -30,6 +30,7 @@
 import type { SimTask } from "./taskRunner.js";
 import type { SimWorker } from "./worker.js";
 
+/** What tests may vary; everything else is the region of `region.ts`. */
 export interface WorldOptions {
   /** Number of controllers; 3 unless given. */
   controllerCount?: number;
@@ -44,6 +45,7 @@
 /** After a fault's end, this much is allowed until everything is as before. */
 const SETTLE_MS = 10_000;
 
+/** A running region; time passes only in `run` and `runUntilFaultFree`. */
 export class World {
   readonly clock = new SimClock();
   /** The one source of random numbers, uniform in [0, 1). */
@@ -104,6 +106,7 @@
     this.faultFreeFromMs = Math.max(this.faultFreeFromMs, this.clock.nowMs() + forMs + SETTLE_MS);
   }
 
+  /** Lets simulated time pass, with all that is due in it. */
   async run(seconds: number): Promise<void> {
     await this.clock.advance(seconds * 1000);
   }
