--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -1,3 +1,4 @@
+/** HTTP requests of a controller to the state store, the cloud and the workers: JSON both ways, over kept connections. */
 import * as http from "node:http";
 import { splitAddress } from "./address.js";
 
--- a/src/transport/httpServer.ts
+++ b/src/transport/httpServer.ts
@@ -1,3 +1,4 @@
+/** The HTTP server of a controller, for workers and users: JSON responses, bounded bodies and connections. */
 import * as http from "node:http";
 import { splitAddress } from "./address.js";
 
