--- a/src/bookkeeping/imageCache.ts
+++ b/src/bookkeeping/imageCache.ts
@@ -1,15 +1,19 @@
-/** Owns what is known of a worker's image cache: the images that it has, and those that it is fetching. */
+/**
+ * Owns the leader's model of a worker's image cache: the images that it has, and those that it is fetching. Workers send
+ * no list of their images, so the model follows the starts that they get and evicts as they do.
+ */
 export class ImageCache {
   /** Sizes in GB; most recently used last. */
   private readonly sizes = new Map<string, number>();
-  /** Images still on their way, with their sizes in GB. */
+  /** Images that are being fetched, with their sizes in GB. */
   private readonly fetches = new Map<string, number>();
 
-  /** The image is there or on its way. */
+  /** The worker has the image or is fetching it. */
   includes(image: string): boolean {
     return this.sizes.has(image);
   }
 
+  /** The worker is fetching the image. */
   isFetching(image: string): boolean {
     return this.fetches.has(image);
   }
@@ -19,7 +23,7 @@
     for (const image of this.sizes.keys()) if (!this.fetches.has(image)) yield image;
   }
 
-  /** Images on their way. */
+  /** Images that are being fetched. */
   fetchingImages(): Iterable<string> {
     return this.fetches.keys();
   }
@@ -32,8 +36,8 @@
   }
 
   /**
-   * A task uses the image. What passes the cache's limit is dropped as the worker does it: least recently used first,
-   * and nothing that is in use.
+   * A task uses the image of that size. Above the cache's limit, images are evicted as the worker does it: least recently
+   * used first, and none that is in use.
    */
   use(image: string, gb: number, limitGb: number, isInUse: (image: string) => boolean): void {
     const isNew = !this.sizes.has(image);
@@ -51,12 +55,12 @@
     }
   }
 
-  /** The fetch is over; false when there was none. */
+  /** The image has been fetched; false when no fetch of it was known. */
   finishFetch(image: string): boolean {
     return this.fetches.delete(image);
   }
 
-  /** The worker has given the fetch up. */
+  /** The worker has given the fetch up, and does not have the image. */
   abandonFetch(image: string): void {
     if (this.fetches.delete(image)) this.sizes.delete(image);
   }
--- a/src/bookkeeping/resources.ts
+++ b/src/bookkeeping/resources.ts
@@ -1,4 +1,4 @@
-/** What a machine has, or a task takes, of each kind. */
+/** What a machine has, or a task requests, of each kind of resource. */
 export interface Resources {
   cpus: number;
   gpus: number;
--- a/src/bookkeeping/workload.ts
+++ b/src/bookkeeping/workload.ts
@@ -2,71 +2,87 @@
  * Jobs, their attempts, and the machines that these run on, as a term's leader sees them. They refer to one another and
  * so share a module; whoever changes an attempt goes through `Attempts` of the term, which keeps both sides in step.
  */
-import type { JobSpec, MachineType, TaskStatus } from "../protocol/model.js";
+import type { JobSpec, MachineType, TaskPhase, TaskStatus } from "../protocol/model.js";
+import { FencedWorker } from "./fencedWorker.js";
 import { ImageCache } from "./imageCache.js";
+import { PendingTasks } from "./pendingTasks.js";
 import { TASKS_PER_CHUNK, type ChunkRecord, type JobHead } from "./records.js";
 import type { Resources } from "./resources.js";
 import { TaskChunk } from "./taskChunk.js";
 
-/** One start of one task, from its plan until it is proved gone. It holds place and quota all that time. */
+/** The leader's decision to stop an attempt. */
+export interface StopRequest {
+  /** Steady time of the decision. */
+  sinceMs: number;
+  /** Time that the task gets to save its state, in seconds. */
+  graceS: number;
+  isSent: boolean;
+  /** Steady time of the last stop command; -Infinity: none was sent. */
+  lastSentMs: number;
+}
+
+/** One start of one task, from its plan until it is proved gone. It holds resources and quota all that time. */
 export interface Attempt {
   job: Job;
   task: number;
+  /** Unique among all attempts of all terms. */
   number: number;
   machine: Machine;
-  /** Planned: not yet in the state service, so nothing may be sent. */
+  /** The state store certainly holds it; before that, no start may be sent. */
   isDurable: boolean;
-  /** Read from the state service by a new leader: its start may have been sent by another. */
+  /** Read from the state store when the term began: an earlier leader may have sent its start. */
   isInherited: boolean;
-  /** Highest token that a start of it went out under; -1: not sent by this leader. */
+  /** Highest fencing token that a start of it was sent under; -1: this leader has sent none. */
   sentToken: number;
+  /** Worker's epoch that the start named. */
   sentEpoch: number;
+  /** Steady time when the start was last sent; -Infinity: it is to be sent at once. */
   sentMs: number;
-  /** As last reported; null: never seen. */
-  phase: "fetching" | "waiting" | "running" | "saving" | null;
+  /** As its worker's newest heartbeat says; null: no heartbeat has listed it. */
+  phase: Exclude<TaskPhase, "exited"> | null;
+  /** Steady time of the plan, or of its reading when it is inherited. */
   plannedMs: number;
+  /** Steady time when it was first seen running; null: not yet. */
   runningMs: number | null;
-  /** Set once it is to be stopped. */
-  stop: { sinceMs: number; graceS: number; sent: boolean; lastSentMs: number } | null;
+  /** Null: it is not to be stopped. */
+  stop: StopRequest | null;
 }
 
 /** A run of a job's tasks that is kept in one record. */
 export type Chunk = TaskChunk<Attempt>;
 
-/** A live job as its leader sees it. Nothing here grows with tasks that were never touched. */
+/** A live job as its leader sees it. Its size does not grow with tasks that were never started. */
 export class Job {
+  /** Chunks with a task that was ever started, by their index. */
   readonly chunks = new Map<number, Chunk>();
   readonly attempts = new Set<Attempt>();
-  /** Tasks that have to run again, lowest last. */
-  private requeued: number[] = [];
-  /** Tasks from here on were never started. */
-  private nextUnstarted = 0;
+  private readonly pendingTasks: PendingTasks;
+  private readonly mayStart = (task: number): boolean => !this.isDone(task) && !this.attemptOf(task);
   doneCount = 0;
-  /** Null: it is not cancelled. */
-  cancelledAt: Date | null;
-  /** Steady time of the submission, as near as we know. */
-  readonly submittedMs: number;
-  /** Nothing of it is started before this, after failures. */
+  /** Steady time before which nothing of it is started, after failures. */
   notBeforeMs = 0;
+  /** Tasks that exited with an error. */
   failureCount = 0;
-  /** Machines on which it failed, ever. */
+  /** Names of the machines on which it ever failed. */
   readonly failedOn = new Set<string>();
-  /** Machines on which it failed, and until when they are avoided. */
+  /** Names of machines that it avoids for a while, and the steady time when that ends. */
   readonly avoidedUntilMs = new Map<string, number>();
 
   constructor(
     readonly spec: JobSpec,
     readonly acceptedAt: Date,
+    /** Version of the head's key. */
     public headVersion: number,
-    cancelledAt: Date | null,
-    bornMs: number,
+    /** Time of day of the cancellation; null: it is not cancelled. */
+    public cancelledAt: Date | null,
+    /** Steady time of the submission, as near as the clocks allow. */
+    readonly submittedMs: number,
   ) {
-    this.cancelledAt = cancelledAt;
-    this.submittedMs = bornMs;
+    this.pendingTasks = new PendingTasks(spec.tasks);
   }
 
-  static fromHead(head: JobHead, version: number, bornMs: number): Job {
-    return new Job(head.spec, head.acceptedAt, version, head.cancelledAt, bornMs);
+  static fromHead(head: JobHead, version: number, submittedMs: number): Job {
+    return new Job(head.spec, head.acceptedAt, version, head.cancelledAt, submittedMs);
   }
 
   get isCancelled(): boolean {
@@ -77,7 +93,7 @@
     return this.spec.id;
   }
 
-  /** The chunk that holds the task; made when there is none yet. */
+  /** The chunk that holds the task; created when there is none yet. */
   chunkOf(task: number): Chunk {
     const index = TaskChunk.indexOf(task);
     let chunk = this.chunks.get(index);
@@ -92,7 +108,7 @@
     return this.chunks.get(TaskChunk.indexOf(task))?.isDone(task) ?? false;
   }
 
-  /** Its result is certainly in the state store. */
+  /** The task is done, and the state store certainly holds that. */
   isDurablyDone(task: number): boolean {
     return this.chunks.get(TaskChunk.indexOf(task))?.isDurablyDone(task) ?? false;
   }
@@ -101,7 +117,7 @@
     return this.chunks.get(TaskChunk.indexOf(task))?.attempts.get(task);
   }
 
-  /** False when it was done already. */
+  /** The task is done; false when that was known already, or there is no such task. */
   markDone(task: number): boolean {
     if (task < 0 || task >= this.spec.tasks || this.isDone(task)) return false;
     this.chunkOf(task).markDone(task);
@@ -113,12 +129,13 @@
     return this.doneCount >= this.spec.tasks;
   }
 
-  /** Over, and nothing of it can be anywhere: only then may it be moved to the final jobs. */
+  /** Finished, and nothing of it can run anywhere: only then may it be moved to the final jobs. */
   get canFinalize(): boolean {
-    // A gang's last members may still hold place and quota when its result is known: they are waited for.
+    // A gang's last members may still hold resources and quota when its result is known: they are waited for.
     return this.attempts.size === 0 && (this.isCancelled || this.isComplete);
   }
 
+  /** Adds an attempt of a task that has none. */
   attach(attempt: Attempt): void {
     const chunk = this.chunkOf(attempt.task);
     if (chunk.attempts.has(attempt.task))
@@ -127,6 +144,7 @@
     this.attempts.add(attempt);
   }
 
+  /** The attempt is proved gone, which its chunk's record has yet to show. */
   detach(attempt: Attempt): void {
     const chunk = this.chunkOf(attempt.task);
     if (chunk.attempts.get(attempt.task) === attempt) chunk.attempts.delete(attempt.task);
@@ -134,131 +152,101 @@
     chunk.isDirty = true;
   }
 
+  /** The task has to run again, unless it is done. */
   requeue(task: number): void {
-    if (task >= this.nextUnstarted || this.isDone(task)) return;
-    this.requeued.push(task);
+    if (!this.isDone(task)) this.pendingTasks.requeue(task);
   }
 
-  /** Tasks that wait for a place. */
+  /** Number of tasks that wait to be placed. */
   get pendingCount(): number {
     if (this.isCancelled) return 0;
     return this.spec.tasks - this.doneCount - this.attempts.size;
   }
 
-  /** Takes the next task that has neither result nor attempt. */
+  /** Takes the next task that has neither result nor attempt; null: there is none. */
   takePending(): number | null {
-    while (this.requeued.length > 0) {
-      const task = this.requeued.pop()!;
-      if (!this.isDone(task) && !this.attemptOf(task)) return task;
-    }
-    while (this.nextUnstarted < this.spec.tasks) {
-      const task = this.nextUnstarted++;
-      if (!this.isDone(task) && !this.attemptOf(task)) return task;
-    }
-    return null;
+    return this.pendingTasks.take(this.mayStart);
   }
 
-  /** Takes over what the state service holds of a chunk. */
+  /** Applies a chunk's record at its version, but for the attempts in it. */
   load(index: number, record: ChunkRecord, version: number): void {
     this.doneCount += this.chunkOf(index * TASKS_PER_CHUNK).load(record.done, version);
   }
 
+  /** Number of tasks that run or save their state, as their workers last said. */
   runningCount(): number {
     if (this.attempts.size === 0) return 0;
     let running = 0;
-    for (const a of this.attempts) if (a.phase === "running" || a.phase === "saving") running++;
+    for (const { phase } of this.attempts) if (phase === "running" || phase === "saving") running++;
     return running;
   }
 }
 
-/** What goes into the state service for a chunk as it stands. */
-export function chunkRecord(chunk: Chunk): ChunkRecord {
-  return {
-    done: chunk.done,
-    attempts: [...chunk.attempts.values()].map((attempt) => ({
-      task: attempt.task,
-      attempt: attempt.number,
-      machine: attempt.machine.name,
-      zone: attempt.machine.zone,
-    })),
-  };
-}
-
-/** A machine as its leader sees it. */
-export class Machine {
-  /** Booting: rented and never heard of. Up: has reported to this leader. Leaving: its deletion is asked for. */
+/** A machine, and the worker on it, as the term's leader sees them. All times are steady. */
+export class Machine extends FencedWorker {
+  /**
+   * Booting: requested, and its worker has sent this leader no heartbeat. Up: it has. Leaving: the cloud is asked to delete
+   * it.
+   */
   state: "booting" | "up" | "leaving" = "booting";
+  /** Null: not known yet. */
+  type: MachineType | null = null;
+  /** It is a spot instance; false while that is not known. */
+  spot = false;
+  /** Of the worker; empty: not known. */
   address = "";
+  /** The worker's epoch and tick in the newest heartbeat whose task list was applied. */
   epoch = 0;
   tick = 0;
-  /** Highest token its worker says it has seen. */
-  seenToken = 0;
-  /** The token for the next command; only this leader uses it. */
-  fencingToken: number;
-  /** Highest token under which a start went out to it. */
-  lastStartToken = -1;
-  /** The controller that its reports come through; null: not known. */
+  /** The controller that acknowledges its heartbeats; null: not known. */
   heartbeatServer: string | null = null;
-  /** The newest of its reports (its answers to commands count ticks as well). */
+  /** Epoch and tick of its newest heartbeat (responses to commands count ticks as well, and are none). */
   heartbeatEpoch = 0;
   heartbeatTick = 0;
-  /**
-   * Token that it must show before it gets new work: hearing a machine is no proof that it hears us. A new leader
-   * asks for one of its own term, so that a late copy of a report brings back no machine.
-   */
-  requiredToken: number;
-  unreachableSinceMs = -Infinity;
+  /** When it was last sent a delivery: commands, or none to see whether it is reachable. */
   lastProbeMs = -Infinity;
-  /** When we last learned that a report of it was answered, or that it began a session; its lease began no later. */
+  /** When this leader last learned of an acknowledged heartbeat or a new epoch of it: its lease began no later. */
   lastAcknowledgedMs = -Infinity;
+  /** When a heartbeat or a response to a command was last received from it. */
   lastContactMs: number;
-  /** When a controller last acknowledged one of its reports: answers to commands renew no lease. */
+  /** When a controller last acknowledged one of its heartbeats: responses to commands renew no lease. */
   lastHeartbeatMs = -Infinity;
-  /** Steady time at which the cloud takes it, when there is a notice. */
+  /** When the cloud interrupts the spot instance; null: there is no notice. */
   interruptionAtMs: number | null = null;
+  /** The notice has not been acted on. */
   hasNewInterruptionNotice = false;
-  /** No new work; used when it is faulty or about to be given back. */
+  /** It gets no new work: it is faulty, or about to be scaled in. */
   isCordoned = false;
+  /** For the log. */
   cordonReason = "";
   cordonUntilMs = Infinity;
+  /** Since when it has no attempts; null: it has some. */
   idleSinceMs: number | null;
-  /** The cloud lists it as running, so it has come up once, though perhaps not for this leader. */
+  /** The cloud lists it as running, so it has booted, though perhaps not for this leader. */
   isListedAsRunning = false;
   readonly attempts = new Set<Attempt>();
-  /** Counts whatever changes its room or its images. */
+  /** Counts changes of its free resources, its images and its stop requests. */
   revision = 0;
+  /** The tasks in its newest heartbeat. */
   listedTasks: TaskStatus[] = [];
   readonly images = new ImageCache();
+  /** What its attempts hold. */
   readonly used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
-  /** Failed starts in a row, by job. */
+  /** Failed starts since the last success on it, by job. */
   consecutiveFailures = new Map<string, number>();
 
   constructor(
     readonly name: string,
-    public type: MachineType | null,
     public zone: string,
-    public spot: boolean,
-    firstToken: number,
+    firstTokenOfTerm: number,
     public createdMs: number,
   ) {
-    this.fencingToken = firstToken;
-    this.requiredToken = firstToken;
+    super(firstTokenOfTerm);
     this.lastContactMs = createdMs;
     this.idleSinceMs = createdMs;
   }
 
-  /** It has shown that what we send reaches it. */
-  get isReachable(): boolean {
-    return this.seenToken >= this.requiredToken;
-  }
-
-  /** What we sent got no answer: it has to show a token that it can only have from us, from now on. */
-  requireNewToken(nowMs: number): void {
-    if (this.isReachable) this.unreachableSinceMs = nowMs;
-    this.fencingToken = Math.max(this.fencingToken, this.lastStartToken) + 1;
-    this.requiredToken = this.fencingToken;
-  }
-
+  /** The attempt holds resources here from now on. */
   attach(attempt: Attempt): void {
     this.revision++;
     this.attempts.add(attempt);
@@ -270,6 +258,7 @@
     this.useImage(spec);
   }
 
+  /** The attempt is proved gone: its resources are free. */
   detach(attempt: Attempt, nowMs: number): void {
     if (!this.attempts.delete(attempt)) return;
     this.revision++;
@@ -278,14 +267,15 @@
     this.used.gpus -= spec.gpus;
     this.used.memoryGb -= spec.memoryGb;
     if (this.attempts.size === 0) {
-      // Start from zero again, so that rounding errors don't pile up.
+      // Exactly zero again, so that rounding errors don't add up.
       this.used.cpus = this.used.gpus = this.used.memoryGb = 0;
       this.idleSinceMs = nowMs;
     }
   }
 
   private useImage({ image, imageGb }: JobSpec): void {
-    const isInUse = (other: string): boolean => [...this.attempts].some((a) => a.job.spec.image === other);
+    const isInUse = (other: string): boolean =>
+      [...this.attempts].some((attempt) => attempt.job.spec.image === other);
     this.images.use(image, imageGb, this.type?.cacheGb ?? Infinity, isInUse);
   }
 
@@ -294,7 +284,7 @@
     if (this.images.finishFetch(image)) this.revision++;
   }
 
-  /** No task waits for the image any more: the worker has given the fetch up. */
+  /** No attempt needs the image any more: the worker gives the fetch up. */
   abandonImageFetch(image: string): void {
     this.images.abandonFetch(image);
     this.revision++;
--- a/src/coordination/commands/commandBatch.ts
+++ b/src/coordination/commands/commandBatch.ts
@@ -14,7 +14,7 @@
 
 /**
  * What has to be sent to a machine now. Called right before sending: it marks on the machine and its attempts what is sent
- * (`sentToken`, `sentEpoch`, `sentMs`, `lastStartToken`, `stop.sent`), for the proofs that a task is gone rely on knowing
+ * (`sentToken`, `sentEpoch`, `sentMs`, `lastStartToken`, `stop.isSent`), for the proofs that a task is gone rely on knowing
  * every start command that may be under way.
  *
  * After a `reap` the worker has forgotten the attempt, and a copy of its start command still under way would run it again
@@ -31,8 +31,7 @@
   const hasReaps = addCommandsForStrayTasks(commands, machine, jobs);
   addDueStops(commands, machine, nowMs);
   // Before the starts: they carry the new token already.
-  if (options.raise || (hasReaps && machine.lastStartToken >= machine.fencingToken))
-    machine.fencingToken = Math.max(machine.fencingToken, machine.lastStartToken) + 1;
+  if (options.raise || (hasReaps && machine.lastStartToken >= machine.fencingToken)) machine.raiseToken();
   if (options.starts) addDueStarts(commands, machine, nowMs);
   return { token: machine.fencingToken, commands };
 }
@@ -71,8 +70,8 @@
   for (const attempt of machine.attempts) {
     const { stop } = attempt;
     if (!stop || (attempt.sentToken < 0 && !attempt.isInherited)) continue;
-    if (stop.sent && nowMs - stop.lastSentMs < REPEAT_STOP_MS) continue;
-    stop.sent = true;
+    if (stop.isSent && nowMs - stop.lastSentMs < REPEAT_STOP_MS) continue;
+    stop.isSent = true;
     stop.lastSentMs = nowMs;
     commands.push({
       op: "stop",
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -62,19 +62,19 @@
         grants.updateLimits(this.options.clock.nowMs());
         break;
       case "watched":
-        watcher.watched(message.outcome, message.sentMs);
+        watcher.applyWatchOutcome(message.outcome, message.sentMs);
         break;
       case "reread":
-        writer.reread(message.key, message.item, message.ok);
+        writer.applyRereadOutcome(message.key, message.outcome);
         break;
       case "committed":
-        writer.committed(message.transaction, message.outcome);
+        writer.applyWriteOutcome(message.transaction, message.outcome);
         break;
       case "cycle":
         scheduler.runCycle();
         break;
       case "write":
-        writer.writeDue();
+        writer.writeWaiting();
         break;
       case "cloud":
         provisioner.receiveCloudEvent(message.event);
--- a/src/coordination/records/jobRecords.ts
+++ b/src/coordination/records/jobRecords.ts
@@ -1,5 +1,13 @@
 import { Job, type Attempt } from "../../bookkeeping/workload.js";
-import { decodeChunk, decodeHead, keys, type ChunkRecord } from "../../bookkeeping/records.js";
+import {
+  decodeChunk,
+  decodeHead,
+  jobIdOfHeadKey,
+  keys,
+  parseChunkKey,
+  type AttemptRecord,
+  type JobHead,
+} from "../../bookkeeping/records.js";
 import type { Item } from "../../bookkeeping/stateStoreClient.js";
 import type { ObsoleteKeys, Transaction } from "../../bookkeeping/transaction.js";
 import type { Clock } from "../../transport/clock.js";
@@ -22,32 +30,38 @@
 
 /** Applies the records of live jobs to the registry, and owns the list of keys that no live job needs any more. */
 export class JobRecords {
+  /** To be deleted from the state store, along with other writes. */
   readonly obsoleteKeys: ObsoleteKeys = new Map();
 
   constructor(private readonly context: JobRecordsContext) {}
 
-  /** A job's head as it stands in the state store: a new job, or a cancellation. */
+  /** A job's head as the state store holds it: adds a new job, or cancels a known one. An older version changes nothing. */
   applyHead(item: Item): void {
-    const id = item.key.slice(keys.live.length);
+    const id = jobIdOfHeadKey(item.key);
     const head = decodeHead(item.value);
     if (!head || head.spec.id !== id) {
       logUnreadable(item.key);
       return;
     }
-    const { clock, jobs, attempts, estimates } = this.context;
-    const job = jobs.get(id);
-    if (job) {
-      if (item.version < job.headVersion) return;
-      job.headVersion = item.version;
-      if (head.cancelledAt !== null && !job.isCancelled) attempts.cancelJob(job, head.cancelledAt);
-      return;
-    }
+    const job = this.context.jobs.get(id);
+    if (job) this.updateJob(job, head, item.version);
+    else this.addJob(head, item.version);
+  }
+
+  private updateJob(job: Job, head: JobHead, version: number): void {
+    if (version < job.headVersion) return;
+    job.headVersion = version;
+    if (head.cancelledAt !== null && !job.isCancelled) this.context.attempts.cancelJob(job, head.cancelledAt);
+  }
+
+  private addJob(head: JobHead, version: number): void {
+    const { clock, jobs, estimates } = this.context;
     const ageMs = Math.max(0, clock.wallTime().getTime() - head.acceptedAt.getTime());
     estimates.recordAcceleratorJob(head.spec);
-    jobs.add(Job.fromHead(head, item.version, clock.nowMs() - ageMs));
+    jobs.add(Job.fromHead(head, version, clock.nowMs() - ageMs));
   }
 
-  /** A chunk of a job's tasks, read when the term begins. */
+  /** A chunk of a job's tasks, read when the term begins. One without a live job is obsolete. */
   loadChunk(item: Item): void {
     const { id, index } = parseChunkKey(item.key);
     const job = this.context.jobs.get(id);
@@ -65,8 +79,11 @@
       if (!job.isDone(entry.task)) this.context.attempts.attach(this.inheritedAttempt(job, entry));
   }
 
-  /** It may be there, or its start may still be on the way: it holds place and quota until proved gone. */
-  private inheritedAttempt(job: Job, entry: ChunkRecord["attempts"][number]): Attempt {
+  /**
+   * An earlier leader's attempt: it may run, or its start may still be in flight, so it holds resources and quota until
+   * it is proved gone.
+   */
+  private inheritedAttempt(job: Job, entry: AttemptRecord): Attempt {
     const nowMs = this.context.clock.nowMs();
     return {
       job,
@@ -85,7 +102,10 @@
     };
   }
 
-  /** The job is among the final ones. Chunks that the transaction did not delete are left to later ones. */
+  /**
+   * The job is among the final ones. Its chunks are obsolete but for those that the transaction has deleted; null: its
+   * move was found done, and all of them are.
+   */
   removeFinalized(job: Job, transaction: Transaction | null): void {
     const deleted = new Set(
       (transaction?.changes ?? []).map((change) => ("delete" in change ? change.delete : "")),
@@ -98,7 +118,7 @@
     this.context.onJobRemoved(job.id);
   }
 
-  /** A chunk's key stands at that version now (0: it is gone), as a failed write has shown. */
+  /** A chunk's key has that version in the state store (0: it does not exist), as a read after a conflict has shown. */
   applyChunkVersion(key: string, version: number): void {
     const { id, index } = parseChunkKey(key);
     const chunk = this.context.jobs.get(id)?.chunks.get(index);
@@ -109,11 +129,6 @@
   }
 }
 
-function parseChunkKey(key: string): { id: string; index: number } {
-  const [, id, index] = key.split("/");
-  return { id: id ?? "", index: Number(index) };
-}
-
 function logUnreadable(key: string): void {
   log.error(`record ${key} can't be read`);
 }
--- a/src/coordination/records/recordLoader.ts
+++ b/src/coordination/records/recordLoader.ts
@@ -17,10 +17,10 @@
 import type { RecordWatcher } from "./recordWatcher.js";
 import type { SingletonRecords } from "./singletonRecords.js";
 
-/** So long the reading of all records may take before it is begun anew. */
-const LOAD_MS = 4000;
-/** Reading that failed is tried again after this. */
-const RETRY_MS = 200;
+/** Timeout of the reading of all records. */
+const LOAD_TIMEOUT_MS = 4000;
+/** Pause before a reading that failed is begun anew. */
+const LOAD_RETRY_MS = 200;
 
 /** What the loader uses of the term. */
 export interface RecordLoaderContext {
@@ -37,23 +37,23 @@
   watcher: RecordWatcher;
   jobRecords: JobRecords;
   singletons: SingletonRecords;
-  /** Machine types as an earlier leader stored them. */
+  /** Called with the stored machine types when the cloud has not listed any to this controller yet. */
   onStoredMachineTypes: (types: MachineType[]) => void;
   tell: (message: LoadedRecords) => void;
 }
 
-/** Reads the term's records when it begins: until that is done, the leader knows nothing and acknowledges nothing. */
+/** Reads the term's records when it begins: until that is done, the leader decides nothing and acknowledges nothing. */
 export class RecordLoader {
   constructor(private readonly context: RecordLoaderContext) {}
 
-  /** Begins to read; what comes back arrives by `tell`. */
+  /** Begins to read; the records arrive as a message for `applyLoaded`. */
   load(): void {
     const sentMs = this.context.clock.nowMs();
-    void this.read(sentMs).then((loaded) => this.context.tell(loaded));
+    void this.read(sentMs).then((records) => this.context.tell(records));
   }
 
   private async read(sentMs: number): Promise<LoadedRecords> {
-    const deadlineMs = sentMs + LOAD_MS;
+    const deadlineMs = sentMs + LOAD_TIMEOUT_MS;
     const [{ heads, chunks }, singletons] = await Promise.all([
       this.readJobs(deadlineMs),
       this.readSingletons(deadlineMs),
@@ -61,7 +61,7 @@
     return { kind: "loaded", heads, chunks, singletons, sentMs };
   }
 
-  /** Heads before chunks: a chunk whose job is not among the heads is then certainly nobody's. */
+  /** Heads before chunks: a chunk whose job is not among the heads then certainly belongs to no live job. */
   private async readJobs(deadlineMs: number): Promise<{ heads: ListOutcome; chunks: ListOutcome }> {
     const heads = await this.context.stateStore.list(keys.live, deadlineMs);
     const chunks = await this.context.stateStore.list(keys.chunks, deadlineMs);
@@ -78,11 +78,11 @@
     return items;
   }
 
-  /** Takes over what was read; from here on the term leads. */
+  /** Applies what was read, and starts the term's work; when a part could not be read, all is read again. */
   loaded({ heads, chunks, singletons, sentMs }: LoadedRecords): void {
     const { clock, lease, jobs, machines, jobRecords, watcher } = this.context;
     if (heads.kind === "failed" || chunks.kind === "failed" || !singletons) {
-      clock.after(RETRY_MS, () => {
+      clock.after(LOAD_RETRY_MS, () => {
         if (!lease.isOver) this.load();
       });
       return;
@@ -93,7 +93,7 @@
     lease.markLoaded();
     log.info(`term ${lease.term}: ${jobs.size} live jobs, ${machines.size} machines known`);
     this.catchUp();
-    // What came up while we read (the types, first of all) has waited for this.
+    // What was to be written meanwhile (the machine types, first of all) has waited for this.
     this.context.writes.requestWrite(0);
     watcher.begin(heads.revision, sentMs);
     this.context.cycles.requestCycle();
@@ -110,11 +110,12 @@
     if (types && !estimates.areTypesKnown) this.context.onStoredMachineTypes(types);
   }
 
-  /** Draws the conclusions that waited for the records. */
+  /** Decides what had to wait for the records: the state of machines that have sent heartbeats, and of broken gangs. */
   private catchUp(): void {
     const { jobs, machines, attempts, reconciliation } = this.context;
     for (const machine of machines.values()) if (machine.state === "up") reconciliation.reconcile(machine);
-    // A gang that had lost a member, and whose leader ended before it had stopped the others: they would wait for it alone.
+    // The earlier leader may have ended after a gang lost a member and before the others were stopped: they would wait for
+    // that member for ever.
     for (const job of jobs.values())
       if (job.spec.kind === "gang" && job.attempts.size > 0 && job.pendingCount > 0) attempts.breakGang(job);
   }
--- a/src/coordination/records/recordWatcher.ts
+++ b/src/coordination/records/recordWatcher.ts
@@ -6,13 +6,13 @@
 import type { JobRecords } from "./jobRecords.js";
 import type { RecordMessage } from "./recordMessages.js";
 
-/** Short, so that at each moment no cancellation of a while ago is unknown here (`cancellationsReadUntilMs`). */
-const WATCH_MS = 800;
-/** A watch that failed is begun anew after this. */
-const RETRY_WATCH_MS = 250;
-/** So long a reading of all heads may take, and its pause when it failed. */
-const LIST_MS = 4000;
-const RETRY_LIST_MS = 300;
+/** Longest wait of a watch without changes; short, so that `cancellationsReadUntilMs` stays close behind the clock. */
+const WATCH_WAIT_MS = 800;
+/** Pause before a watch that failed is begun anew. */
+const WATCH_RETRY_MS = 250;
+/** Timeout of a reading of all heads, and the pause before one that failed is begun anew. */
+const LIST_TIMEOUT_MS = 4000;
+const LIST_RETRY_MS = 300;
 
 /** What the watcher uses of the term. */
 export interface RecordWatcherContext {
@@ -31,12 +31,12 @@
 
   constructor(private readonly context: RecordWatcherContext) {}
 
-  /** All cancellations that were committed before then are known. */
+  /** Steady time: all cancellations that were committed before it are known to the leader. */
   get cancellationsReadUntilMs(): number {
     return this.readUntilMs;
   }
 
-  /** The records were read at that revision, by a request sent then: what changes from there on is watched. */
+  /** Watches what changes after the revision at which the records were read, by a request sent at `sentMs`. */
   begin(revision: number, sentMs: number): void {
     this.revision = revision;
     this.readUntilMs = sentMs;
@@ -47,18 +47,18 @@
     const { clock, stateStore, tell } = this.context;
     const sentMs = clock.nowMs();
     void stateStore
-      .watch(keys.live, this.revision, WATCH_MS)
+      .watch(keys.live, this.revision, WATCH_WAIT_MS)
       .then((outcome) => tell({ kind: "watched", outcome, sentMs }));
   }
 
-  /** What a watch, or a reading in its place, brought. */
-  watched(outcome: WatchOutcome, sentMs: number): void {
+  /** A watch, or a reading in its place, has ended: applies the changes and begins the next one. */
+  applyWatchOutcome(outcome: WatchOutcome, sentMs: number): void {
     switch (outcome.kind) {
       case "too old":
         this.readAll();
         return;
       case "failed":
-        this.context.clock.after(RETRY_WATCH_MS, () => {
+        this.context.clock.after(WATCH_RETRY_MS, () => {
           if (!this.context.lease.isOver) this.watch();
         });
         return;
@@ -72,16 +72,16 @@
     this.context.cycles.requestCycle();
   }
 
-  /** Heads may have come and been cancelled unseen: read them all again. */
+  /** The state store no longer has the changes since our revision: reads all heads again. */
   private readAll(): void {
     const { clock, stateStore, tell } = this.context;
     const sentMs = clock.nowMs();
-    void stateStore.list(keys.live, sentMs + LIST_MS).then((list) => {
-      const ok = list.kind === "ok";
-      const outcome: WatchOutcome = ok
+    void stateStore.list(keys.live, sentMs + LIST_TIMEOUT_MS).then((list) => {
+      const isOk = list.kind === "ok";
+      const outcome: WatchOutcome = isOk
         ? { kind: "ok", revision: list.revision, events: list.items }
         : { kind: "too old" };
-      clock.after(ok ? 0 : RETRY_LIST_MS, () => tell({ kind: "watched", outcome, sentMs }));
+      clock.after(isOk ? 0 : LIST_RETRY_MS, () => tell({ kind: "watched", outcome, sentMs }));
     });
   }
 }
--- a/src/coordination/records/recordWriter.ts
+++ b/src/coordination/records/recordWriter.ts
@@ -1,9 +1,14 @@
 import type { Job, Machine } from "../../bookkeeping/workload.js";
-import { decodeFinal, keys } from "../../bookkeeping/records.js";
-import type { CompareAndSwapOutcome, Item, StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
+import { decodeFinal, jobIdOfKey, keys } from "../../bookkeeping/records.js";
+import type {
+  CompareAndSwapOutcome,
+  Item,
+  ReadOutcome,
+  StateStoreClient,
+} from "../../bookkeeping/stateStoreClient.js";
 import {
   composeTransaction,
-  type Transaction,
+  type ChunkPart,
   type TransactionLimits,
   type TransactionPart,
 } from "../../bookkeeping/transaction.js";
@@ -16,25 +21,27 @@
 import type { TermLease } from "../term/termLease.js";
 import { DEFERRED_WRITE_MS, type WriteQueue } from "../term/writeQueue.js";
 import type { JobRecords } from "./jobRecords.js";
-import type { RecordMessage } from "./recordMessages.js";
+import type { LeaderTransaction, RecordMessage } from "./recordMessages.js";
 import type { SingletonRecords } from "./singletonRecords.js";
 
-/** Changes in a second that results leave to others: to starts, and to what other controllers accept. */
+/** Changes of the write rate that results leave to starts, and to the jobs that other controllers accept. */
 const DEFERRED_WRITE_RESERVE = 8;
-/** Fewest changes that a transaction is composed for when the write rate leaves less room at the moment. */
+/** Fewest changes that a transaction is composed for when the write rate allows fewer at the moment. */
 const MIN_CHANGES = 4;
 const MAX_TRANSACTION_BYTES = 60 * 1024;
-/** So long a write, or the reading of one key, may take. */
-const WRITE_MS = 2000;
-const REREAD_MS = 2000;
-/** Pauses: for room in the write rate, for room for a large change, after a conflict, a refusal and a failed reading. */
-const ROOM_PAUSE_MS = 10;
-const LARGE_CHANGE_PAUSE_MS = 50;
-/** Changes that a large one waits for in the write rate. */
-const LARGE_CHANGE_ROOM = 8;
+/** Timeouts of a write, and of the reading of one key. */
+const WRITE_TIMEOUT_MS = 2000;
+const REREAD_TIMEOUT_MS = 2000;
+/** Shortest wait when the write rate allows no change at the moment. */
+const RATE_LIMIT_PAUSE_MS = 10;
+/** Shortest wait when it allows fewer changes than the next urgent write takes, and the changes that are waited for. */
+const LARGE_WRITE_PAUSE_MS = 50;
+const LARGE_WRITE_CHANGES = 8;
+/** Pauses before the next write after a conflict without keys, and after a refusal. */
 const CONFLICT_PAUSE_MS = 100;
 const REFUSED_PAUSE_MS = 150;
-const RETRY_REREAD_MS = 200;
+/** Pause before a key that could not be read is read again. */
+const REREAD_RETRY_MS = 200;
 
 /** What the writer uses of the term. */
 export interface RecordWriterContext {
@@ -56,62 +63,67 @@
 }
 
 /**
- * Writes what has changed, one transaction at a time, and does what had to wait until it is durable: intent before
- * command. A failed compare-and-swap is answered by reading what stands there.
+ * Writes what has changed, one transaction at a time, and starts what had to wait until it is durable: no command is
+ * sent before its intent is written. After a conflict the conflicting keys are read again, and then the write is repeated.
  */
 export class RecordWriter {
-  /** Something waited when the leader might not write. */
-  private blocked = false;
-  private readonly rereading = new Set<string>();
+  /** A write was due while the leader was not allowed to write. */
+  private isBlocked = false;
+  /** Keys that are being read again after a conflict. */
+  private readonly keysBeingReread = new Set<string>();
 
   constructor(private readonly context: RecordWriterContext) {}
 
   /**
-   * Writes what an outage held back. Left to the next change, starts planned in an outage were never sent when all work
-   * had its plan already: nothing changed any more, and the jobs waited for ever (docs/incidents/held-back.md).
+   * Requests the write that an outage prevented. It must not wait for the next change: when all work had been planned in
+   * the outage, there was none, and the planned starts were never sent (docs/incidents/held-back.md).
    */
   resume(): void {
-    if (!this.blocked) return;
-    this.blocked = false;
+    if (!this.isBlocked) return;
+    this.isBlocked = false;
     this.context.queue.requestWrite(0);
   }
 
-  /** A requested write is due. */
-  writeDue(): void {
+  /** A requested write is due: composes and sends it, or puts it off when the write rate is used up. */
+  writeWaiting(): void {
     this.context.queue.takeDue();
     const { lease, queue, stateStore } = this.context;
     if (!lease.isLoaded || queue.isWriting) return;
     if (!lease.mayWrite()) {
-      this.blocked = true;
+      this.isBlocked = true;
       return;
     }
-    const room = stateStore.availableWrites();
-    if (room < 1) {
-      queue.requestWrite(Math.max(ROOM_PAUSE_MS, stateStore.writeWaitMs(1)));
+    const availableChanges = stateStore.availableWrites();
+    if (availableChanges < 1) {
+      queue.requestWrite(Math.max(RATE_LIMIT_PAUSE_MS, stateStore.writeWaitMs(1)));
       return;
     }
-    const transaction = this.compose(room);
+    const transaction = this.compose(availableChanges);
     if (transaction.changes.length > 0) this.write(transaction);
-    // What is pressing may just be larger than what may be written at the moment.
+    // An urgent write may take more changes than the write rate allows at the moment.
     else if (this.hasUrgentChange())
-      queue.requestWrite(Math.max(LARGE_CHANGE_PAUSE_MS, stateStore.writeWaitMs(LARGE_CHANGE_ROOM)));
+      queue.requestWrite(Math.max(LARGE_WRITE_PAUSE_MS, stateStore.writeWaitMs(LARGE_WRITE_CHANGES)));
   }
 
-  private compose(room: number): Transaction {
+  private compose(availableChanges: number): LeaderTransaction {
     const { jobs, jobRecords, lease, transactionChanges } = this.context;
     const limits: TransactionLimits = {
-      changes: Math.min(transactionChanges, Math.max(room, MIN_CHANGES)),
-      deferredChanges: Math.max(1, room - DEFERRED_WRITE_RESERVE),
+      changes: Math.min(transactionChanges, Math.max(availableChanges, MIN_CHANGES)),
+      deferredChunks: Math.max(1, availableChanges - DEFERRED_WRITE_RESERVE),
       bytes: MAX_TRANSACTION_BYTES,
     };
-    const transaction = composeTransaction(jobs.values(), jobRecords.obsoleteKeys, lease.termVersion, limits);
+    const transaction: LeaderTransaction = {
+      ...composeTransaction(jobs.values(), jobRecords.obsoleteKeys, lease.termVersion, limits),
+      moves: null,
+      writesMachineTypes: false,
+    };
     if (transaction.changes.length < limits.changes) this.addMoves(transaction);
     if (transaction.changes.length < limits.changes) this.addMachineTypes(transaction);
     return transaction;
   }
 
-  /** A round's moves go in one write, before any of them begins. */
-  private addMoves(transaction: Transaction): void {
+  /** A round's moves are written together, before any of them begins. */
+  private addMoves(transaction: LeaderTransaction): void {
     const moves = this.context.rounds.plannedMoves;
     if (!moves) return;
     transaction.conditions.push({ key: keys.moves, version: this.context.singletons.movesVersion });
@@ -119,31 +131,31 @@
     transaction.moves = moves;
   }
 
-  private addMachineTypes(transaction: Transaction): void {
+  private addMachineTypes(transaction: LeaderTransaction): void {
     const { singletons, estimates } = this.context;
     if (!singletons.typesDirty) return;
     transaction.conditions.push({ key: keys.types, version: singletons.typesVersion });
     transaction.changes.push({ put: keys.types, value: encodeMachineTypes(estimates.types) });
-    transaction.types = true;
+    transaction.writesMachineTypes = true;
   }
 
-  private write(transaction: Transaction): void {
+  private write(transaction: LeaderTransaction): void {
     const { clock, queue, stateStore, tell } = this.context;
-    queue.writeBegun();
-    for (const { chunk } of transaction.parts) {
-      if (!chunk) continue;
-      chunk.isDirty = false;
-      chunk.isUrgent = false;
+    queue.beginWrite();
+    for (const part of transaction.parts) {
+      if (part.kind !== "chunk") continue;
+      part.chunk.isDirty = false;
+      part.chunk.isUrgent = false;
     }
     void stateStore
-      .compareAndSwap(transaction.conditions, transaction.changes, clock.nowMs() + WRITE_MS)
+      .compareAndSwap(transaction.conditions, transaction.changes, clock.nowMs() + WRITE_TIMEOUT_MS)
       .then((outcome) => tell({ kind: "committed", transaction, outcome }));
   }
 
-  /** The outcome of a write is known. */
-  committed(transaction: Transaction, outcome: CompareAndSwapOutcome): void {
+  /** The outcome of a write is known: applies it, or sees to it that the write is repeated. */
+  applyWriteOutcome(transaction: LeaderTransaction, outcome: CompareAndSwapOutcome): void {
     const { queue } = this.context;
-    queue.writeEnded();
+    queue.endWrite();
     if (outcome.kind === "ok") {
       this.applyDurable(transaction, outcome.revision);
       queue.requestWrite(this.hasUrgentChange() ? 0 : DEFERRED_WRITE_MS);
@@ -151,7 +163,7 @@
     }
     for (const part of transaction.parts) markUnwritten(part);
     if (outcome.kind === "conflict") this.resolveConflict(outcome.failed);
-    // Refused, or unknown: the guards make it harmless to try again; a conflict then tells what had happened.
+    // Refused, or unknown: repeating it is harmless, as its conditions fail if it has been carried out already.
     else queue.requestWrite(REFUSED_PAUSE_MS);
   }
 
@@ -172,19 +184,19 @@
     return this.context.rounds.plannedMoves !== null;
   }
 
-  private applyDurable(transaction: Transaction, revision: number): void {
+  private applyDurable(transaction: LeaderTransaction, revision: number): void {
     const { commands, rounds, singletons, jobRecords } = this.context;
     const machines = new Set<Machine>();
     for (const key of transaction.obsoleteKeys) jobRecords.obsoleteKeys.delete(key);
     for (const part of transaction.parts) {
-      if (part.chunk) applyDurableChunk(part, revision, machines);
+      if (part.kind === "chunk") applyDurableChunk(part, revision, machines);
       else jobRecords.removeFinalized(part.job, transaction);
     }
     if (transaction.moves) {
       singletons.movesVersion = revision;
       if (rounds.plannedMoves === transaction.moves) rounds.beginMoves();
     }
-    if (transaction.types) {
+    if (transaction.writesMachineTypes) {
       singletons.typesVersion = revision;
       singletons.typesDirty = false;
     }
@@ -192,41 +204,44 @@
   }
 
   private rereadKey(key: string): void {
-    if (this.rereading.has(key)) return;
-    this.rereading.add(key);
+    if (this.keysBeingReread.has(key)) return;
+    this.keysBeingReread.add(key);
     const { clock, stateStore, tell } = this.context;
-    void stateStore.get(key, clock.nowMs() + REREAD_MS).then((outcome) => {
-      const item = outcome.kind === "found" ? outcome.item : null;
-      tell({ kind: "reread", key, item, ok: outcome.kind !== "failed" });
-    });
+    void stateStore
+      .get(key, clock.nowMs() + REREAD_TIMEOUT_MS)
+      .then((outcome) => tell({ kind: "reread", key, outcome }));
   }
 
-  /** A guard failed: takes over what stands there. Only our own unanswered writes and users' cancellations can be the cause. */
-  reread(key: string, item: Item | null, ok: boolean): void {
-    this.rereading.delete(key);
-    if (!ok) {
-      this.context.clock.after(RETRY_REREAD_MS, () => {
+  /**
+   * A key that a write's condition failed on has been read: takes its state over. Only this leader's own writes of unknown
+   * outcome and users' cancellations can have changed it.
+   */
+  applyRereadOutcome(key: string, outcome: ReadOutcome): void {
+    this.keysBeingReread.delete(key);
+    if (outcome.kind === "failed") {
+      this.context.clock.after(REREAD_RETRY_MS, () => {
         if (!this.context.lease.isOver) this.rereadKey(key);
       });
       return;
     }
-    this.applyReread(key, item);
-    if (this.rereading.size === 0) this.context.queue.requestWrite(0);
+    this.applyItem(key, outcome.kind === "found" ? outcome.item : null);
+    if (this.keysBeingReread.size === 0) this.context.queue.requestWrite(0);
   }
 
-  private applyReread(key: string, item: Item | null): void {
+  /** `item`: null when the key does not exist. */
+  private applyItem(key: string, item: Item | null): void {
     const { jobs, jobRecords, singletons } = this.context;
     const version = item?.version ?? 0;
     if (key === keys.types) singletons.typesVersion = version;
     else if (key === keys.moves) singletons.movesVersion = version;
     else if (key.startsWith(keys.chunks)) jobRecords.applyChunkVersion(key, version);
     else {
-      const job = jobs.get(key.split("/")[1] ?? "");
+      const job = jobs.get(jobIdOfKey(key));
       if (job) this.rereadJob(job, key, item);
     }
   }
 
-  /** The head, or else the final record, of a job that a write found changed. */
+  /** The head of a job has changed: a cancellation, or, when it is gone, the job's move to the final ones. */
   private rereadJob(job: Job, key: string, item: Item | null): void {
     if (key === keys.head(job.id)) {
       if (item) this.context.jobRecords.applyHead(item);
@@ -236,11 +251,10 @@
   }
 }
 
-/** What the chunk holds is durable: starts in it may be sent to these machines. */
-function applyDurableChunk(part: TransactionPart, revision: number, machines: Set<Machine>): void {
-  const chunk = part.chunk!;
-  chunk.version = revision;
-  chunk.durablyDone = part.done!;
+/** The chunk is durable: its starts may be sent, and their machines are added to `machines`. */
+function applyDurableChunk(part: ChunkPart, revision: number, machines: Set<Machine>): void {
+  part.chunk.version = revision;
+  part.chunk.durablyDone = part.done;
   for (const attempt of part.attempts) {
     if (attempt.isDurable) continue;
     attempt.isDurable = true;
@@ -248,9 +262,10 @@
   }
 }
 
-/** The write failed: what it held still has to be written, and planned attempts in it still wait. */
-function markUnwritten({ chunk }: TransactionPart): void {
-  if (!chunk) return;
+/** The write failed: what it held still has to be written, and the planned attempts in it still wait for that. */
+function markUnwritten(part: TransactionPart): void {
+  if (part.kind !== "chunk") return;
+  const { chunk } = part;
   chunk.isDirty = true;
   if ([...chunk.attempts.values()].some((attempt) => !attempt.isDurable)) chunk.isUrgent = true;
 }
--- a/src/coordination/term/jobRegistry.ts
+++ b/src/coordination/term/jobRegistry.ts
@@ -1,18 +1,18 @@
 import type { Job } from "../../bookkeeping/workload.js";
 
-/** Owns the set of live jobs that the term's leader knows, from their records. */
+/** Owns the set of live jobs that the term's leader knows from their records. */
 export class JobRegistry {
   private readonly jobs = new Map<string, Job>();
-  private changes = 0;
+  private changeCount = 0;
 
   /** The jobs by their id, for decisions that look jobs up. */
   get byId(): ReadonlyMap<string, Job> {
     return this.jobs;
   }
 
-  /** Counts jobs that come, go or are cancelled. */
+  /** Grows whenever a job is added, removed or cancelled: what was derived from the set then has to be derived again. */
   get revision(): number {
-    return this.changes;
+    return this.changeCount;
   }
 
   get size(): number {
@@ -28,17 +28,17 @@
   }
 
   add(job: Job): void {
-    this.changes++;
+    this.changeCount++;
     this.jobs.set(job.id, job);
   }
 
   remove(id: string): void {
-    this.changes++;
+    this.changeCount++;
     this.jobs.delete(id);
   }
 
-  /** A job was cancelled: what was derived from the set of jobs has to be derived again. */
+  /** A job in the set was cancelled. */
   recordCancellation(): void {
-    this.changes++;
+    this.changeCount++;
   }
 }
--- a/src/coordination/term/machineRegistry.ts
+++ b/src/coordination/term/machineRegistry.ts
@@ -7,7 +7,7 @@
   private readonly removed = new Set<string>();
 
   constructor(
-    /** The first fencing token of the term: what a machine must show before it gets work. */
+    /** The first fencing token of the term: a worker must have seen it before it gets work. */
     private readonly firstToken: number,
     private readonly clock: Clock,
   ) {}
@@ -24,26 +24,27 @@
     return this.machines.values();
   }
 
-  /** The machine of that name; one that was not known begins as booting, in that zone. */
+  /** The machine of that name; one that was not known is added as booting, in that zone. */
   getOrCreate(name: string, zone: string): Machine {
     let machine = this.machines.get(name);
     if (!machine) {
-      machine = new Machine(name, null, zone, false, this.firstToken, this.clock.nowMs());
+      machine = new Machine(name, zone, this.firstToken, this.clock.nowMs());
       this.machines.set(name, machine);
     }
     return machine;
   }
 
-  /** The cloud has confirmed the deletion of that name: whatever still speaks of it is late. */
+  /** The cloud has confirmed the deletion of that name: any heartbeat or list that still names it is late. */
   isRemoved(name: string): boolean {
     return this.removed.has(name);
   }
 
-  /** Never comes back under that name in this term. */
+  /** The cloud has confirmed the deletion: the name does not return in this term. */
   markRemoved(name: string): void {
     this.removed.add(name);
   }
 
+  /** Takes the machine out of the set. */
   remove(name: string): void {
     this.machines.delete(name);
   }
--- a/src/coordination/term/termLease.ts
+++ b/src/coordination/term/termLease.ts
@@ -2,14 +2,14 @@
 import type { LeadershipLease } from "./leadershipLease.js";
 
 /**
- * The current term as its parts see it: what they may do, and until when. Owns the lease that the election last
+ * The current term as its parts see it: what they may do, and until when. Owns the leadership lease that the elector last
  * published, and whether the term's records have been read.
  */
 export class TermLease {
   /** Steady time at which this controller began to lead the term. */
   readonly startedMs: number;
-  private loaded = false;
-  private over = false;
+  private areRecordsLoaded = false;
+  private hasEnded = false;
 
   constructor(
     private lease: LeadershipLease,
@@ -18,7 +18,7 @@
     this.startedMs = clock.nowMs();
   }
 
-  /** The election has moved a time of this same term. */
+  /** The elector has moved a time of this same term's lease. */
   renew(lease: LeadershipLease): void {
     this.lease = lease;
   }
@@ -27,14 +27,17 @@
     return this.lease.term;
   }
 
+  /** Version of the term's key: every write of this term is conditional on it. */
   get termVersion(): number {
     return this.lease.termVersion;
   }
 
+  /** Steady time until which heartbeats may be acknowledged. */
   get acknowledgeUntilMs(): number {
     return this.lease.acknowledgeUntilMs;
   }
 
+  /** Steady time from which no earlier leader can acknowledge a heartbeat; Infinity: not known yet. */
   get earlierLeadersSilentFromMs(): number {
     return this.lease.earlierLeadersSilentFromMs;
   }
@@ -46,19 +49,19 @@
 
   /** The term's records have been read: before that nothing is known of jobs, attempts and cancellations. */
   get isLoaded(): boolean {
-    return this.loaded;
+    return this.areRecordsLoaded;
   }
 
   markLoaded(): void {
-    this.loaded = true;
+    this.areRecordsLoaded = true;
   }
 
-  /** Another term has begun, or this controller leads no more: timers of this one have nothing left to do. */
+  /** Another term has begun, or this controller no longer leads: timers of this one have nothing left to do. */
   get isOver(): boolean {
-    return this.over;
+    return this.hasEnded;
   }
 
   end(): void {
-    this.over = true;
+    this.hasEnded = true;
   }
 }
--- a/src/coordination/term/writeQueue.ts
+++ b/src/coordination/term/writeQueue.ts
@@ -1,49 +1,51 @@
 import type { Clock, Timer } from "../../transport/clock.js";
 
-/** Results wait so long for company: what needs them sooner, the end of their job, is written at once. */
+/** Longest wait of results, so that many share one write; what ends a job is written at once. */
 export const DEFERRED_WRITE_MS = 3000;
 
-/** Asks for what has changed to be written to the state store. */
+/** Requests that what has changed is written to the state store. */
 export interface WriteRequests {
-  /** Sees to it that what waits is written within this time. */
+  /** What waits is to be written within this time. */
   requestWrite(delayMs: number): void;
 }
 
-/** Owns when the next write begins: requests that come together are served by one write, and one is under way at most. */
+/** Owns when the next write begins: requests that come together share one write, and at most one is in flight. */
 export class WriteQueue implements WriteRequests {
-  private writing = false;
+  private isInFlight = false;
+  /** Steady time of the requested write; Infinity: none is requested. */
   private dueMs = Infinity;
   private timer: Timer | null = null;
 
   constructor(
     private readonly clock: Clock,
-    /** Called when a write is due, in the caller's turn or a timer's: it only puts a message into the leader's mailbox. */
+    /** Called when a write is due, within `requestWrite` or by a timer: it must only post a message to the leader. */
     private readonly onDue: () => void,
   ) {}
 
   get isWriting(): boolean {
-    return this.writing;
+    return this.isInFlight;
   }
 
+  /** While a write is in flight this does nothing: its end requests the next one. */
   requestWrite(delayMs: number): void {
     const dueMs = this.clock.nowMs() + delayMs;
-    if (this.writing || dueMs >= this.dueMs) return;
+    if (this.isInFlight || dueMs >= this.dueMs) return;
     this.dueMs = dueMs;
     this.timer?.cancel();
     if (delayMs === 0) this.onDue();
     else this.timer = this.clock.after(delayMs, this.onDue);
   }
 
-  /** The due write's turn has come: later requests ask for the next one. */
+  /** The due write is begun: later requests are for the next one. */
   takeDue(): void {
     this.dueMs = Infinity;
   }
 
-  writeBegun(): void {
-    this.writing = true;
+  beginWrite(): void {
+    this.isInFlight = true;
   }
 
-  writeEnded(): void {
-    this.writing = false;
+  endWrite(): void {
+    this.isInFlight = false;
   }
 }
--- a/test/acknowledgementLimits.test.ts
+++ b/test/acknowledgementLimits.test.ts
@@ -7,7 +7,7 @@
 test("a machine whose cancelled task stays is quarantined in time; before that its zone is limited, and others go on", () => {
   const limits = new AcknowledgementLimits({ cancelS: 37, leaseS: 12, clockErrorMs: 25 });
   assert.equal(limits.untilMs, -Infinity, "nothing is acknowledged before the records are read");
-  const machine = (name: string, zone: string): Machine => new Machine(name, null, zone, false, 1, 0);
+  const machine = (name: string, zone: string): Machine => new Machine(name, zone, 1, 0);
   const [first, second] = [machine("m1", "a"), machine("m2", "b")];
   const job = (cancelledAt: Date | null, ...machines: Machine[]): Job => {
     const result = new Job({ id: "job-1", tasks: 2 } as JobSpec, new Date(0), 1, cancelledAt, 0);
--- a/test/commandBatch.test.ts
+++ b/test/commandBatch.test.ts
@@ -84,12 +84,12 @@
       const machine = term.machine();
       const nowMs = term.clock.nowMs();
       const lastSentMs = sentMsAgo === null ? -Infinity : nowMs - sentMsAgo;
-      const stop = { sinceMs, graceS: 4, sent: sentMsAgo !== null, lastSentMs };
+      const stop = { sinceMs, graceS: 4, isSent: sentMsAgo !== null, lastSentMs };
       const attempt = term.attempt(term.job(), machine, { ...change, stop });
       const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, { starts: true, raise: false });
       const command = { op: "stop", jobId: "job-1", task: 0, attempt: attempt.number, graceS: 4 };
       assert.deepEqual(batch.commands, isSent ? [command] : []);
-      if (isSent) assert.deepEqual(attempt.stop, { ...stop, sent: true, lastSentMs: nowMs });
+      if (isSent) assert.deepEqual(attempt.stop, { ...stop, isSent: true, lastSentMs: nowMs });
     });
 });
 
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -221,7 +221,8 @@
 /** A machine of 100 cpus that is up, with one attempt of such a job on it. */
 function occupiedMachine(spec: Partial<JobSpec>, state: Partial<TestAttempt>, contactAgoMs: number): Machine {
   const type = { name: "m", ...capacity } as MachineType;
-  const occupied = new Machine("host-1", type, "a", false, 0, 0);
+  const occupied = new Machine("host-1", "a", 0, 0);
+  occupied.type = type;
   occupied.state = "up";
   occupied.lastContactMs = NOW_MS - contactAgoMs;
   const job = { id: "job-1", spec: { kind: "array", tasks: 1, checkpointS: 0, ...task(10), ...spec } };
@@ -231,7 +232,7 @@
 }
 
 test("a round moves only what restarts cheaply, from machines whose tasks are known", () => {
-  const stop = { sinceMs: 0, graceS: 0, sent: false, lastSentMs: 0 };
+  const stop = { sinceMs: 0, graceS: 0, isSent: false, lastSentMs: 0 };
   const old = { runningMs: NOW_MS - 60_000 };
   type Case = [
     string,
--- a/test/failureDetection.test.ts
+++ b/test/failureDetection.test.ts
@@ -18,7 +18,7 @@
 }
 
 function buildMachine(name: string): Machine {
-  return new Machine(name, null, "a", false, 1, 0);
+  return new Machine(name, "a", 1, 0);
 }
 
 function buildJob({ id = "a", failedOn, doneCount = 0, runsOn = [] }: JobHistory): Job {
--- a/test/fakes/machineTerm.ts
+++ b/test/fakes/machineTerm.ts
@@ -84,7 +84,7 @@
 
   /** A machine that is up and has shown the term's first token, in its first epoch. */
   machine(name = "host-1"): Machine {
-    const machine = new Machine(name, null, "a", false, FIRST_TOKEN, this.clock.nowMs());
+    const machine = new Machine(name, "a", FIRST_TOKEN, this.clock.nowMs());
     machine.state = "up";
     machine.address = `${name}:80`;
     machine.epoch = 1;
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -59,7 +59,7 @@
     },
     {
       name: "is to be stopped, and the worker has seen a higher token",
-      attempt: { stop: { sinceMs: 0, graceS: 0, sent: true, lastSentMs: 0 } },
+      attempt: { stop: { sinceMs: 0, graceS: 0, isSent: true, lastSentMs: 0 } },
       machine: { seenToken: FIRST_TOKEN + 1 },
       outcome: "gone",
       raisesToken: false,
--- /dev/null
+++ b/test/recordWriter.test.ts
@@ -0,0 +1,232 @@
+import assert from "node:assert/strict";
+import test from "node:test";
+import { encodeFinal, encodeHead, keys } from "../src/bookkeeping/records.js";
+import type { CompareAndSwapOutcome, ReadOutcome } from "../src/bookkeeping/stateStoreClient.js";
+import { Job } from "../src/bookkeeping/workload.js";
+import { JobRecords, type JobRecordsContext } from "../src/coordination/records/jobRecords.js";
+import type { LeaderTransaction, RecordMessage } from "../src/coordination/records/recordMessages.js";
+import { RecordWriter, type RecordWriterContext } from "../src/coordination/records/recordWriter.js";
+import { SingletonRecords } from "../src/coordination/records/singletonRecords.js";
+import { JobRegistry } from "../src/coordination/term/jobRegistry.js";
+import { TermLease } from "../src/coordination/term/termLease.js";
+import { WriteQueue } from "../src/coordination/term/writeQueue.js";
+import type { JobSpec } from "../src/protocol/model.js";
+import { SimClock } from "./fakes/clock.js";
+
+const TERM = 7;
+const spec = { id: "job-1", tasks: 2, priority: 1 } as JobSpec;
+
+/** A writer with one job, whose chunk 0 waits to be written; `stored`: what reads of keys find. */
+function writerWith(stored: Record<string, ReadOutcome> = {}) {
+  const clock = new SimClock();
+  const jobs = new JobRegistry();
+  const job = new Job(spec, new Date(0), 10, null, 0);
+  jobs.add(job);
+  job.markDone(0);
+  const sent: LeaderTransaction["changes"][] = [];
+  const reads: string[] = [];
+  const messages: RecordMessage[] = [];
+  const cancelled: string[] = [];
+  const deposed: number[] = [];
+  let dueWrites = 0;
+  const jobRecords = new JobRecords({
+    clock,
+    jobs,
+    attempts: { cancelJob: (job: Job) => cancelled.push(job.id) },
+    onJobRemoved: () => undefined,
+  } as unknown as JobRecordsContext);
+  const lease = new TermLease(
+    {
+      term: TERM,
+      termVersion: 5,
+      writeUntilMs: Infinity,
+      acknowledgeUntilMs: Infinity,
+      earlierLeadersSilentFromMs: 0,
+    },
+    clock,
+  );
+  lease.markLoaded();
+  const singletons = new SingletonRecords();
+  const writer = new RecordWriter({
+    clock,
+    lease,
+    stateStore: {
+      availableWrites: () => 100,
+      compareAndSwap: (_: unknown, changes: LeaderTransaction["changes"]) => {
+        sent.push(changes);
+        return new Promise(() => undefined);
+      },
+      get: (key: string) => {
+        reads.push(key);
+        return Promise.resolve(stored[key] ?? { kind: "absent" });
+      },
+    },
+    jobs,
+    rounds: { plannedMoves: null },
+    queue: new WriteQueue(clock, () => dueWrites++),
+    jobRecords,
+    singletons,
+    transactionChanges: 20,
+    tell: (message: RecordMessage) => messages.push(message),
+    onDeposed: (term: number) => deposed.push(term),
+  } as unknown as RecordWriterContext);
+
+  /** Has the writer send a transaction, and gives it that outcome. */
+  function write(outcome: CompareAndSwapOutcome): void {
+    writer.writeWaiting();
+    writer.applyWriteOutcome({ ...EMPTY, parts: [partOf(job)] }, outcome);
+  }
+
+  /** Hands the outcomes of reads back until there are none. */
+  async function applyReads(): Promise<void> {
+    for (;;) {
+      await new Promise((resolve) => setImmediate(resolve));
+      const message = messages.shift();
+      if (message?.kind !== "reread") return;
+      writer.applyRereadOutcome(message.key, message.outcome);
+    }
+  }
+
+  return {
+    clock,
+    job,
+    jobs,
+    sent,
+    reads,
+    cancelled,
+    deposed,
+    singletons,
+    write,
+    applyReads,
+    dueWrites: () => dueWrites,
+  };
+}
+
+const EMPTY = {
+  conditions: [],
+  changes: [],
+  obsoleteKeys: [],
+  moves: null,
+  writesMachineTypes: false,
+};
+
+function partOf(job: Job): LeaderTransaction["parts"][number] {
+  const chunk = job.chunkOf(0);
+  return { kind: "chunk", job, chunk, attempts: [], done: chunk.done.slice() };
+}
+
+test("a write that succeeds makes its results durable; only then do they count as such", () => {
+  const { job, sent, write } = writerWith();
+  assert.equal(job.isDurablyDone(0), false);
+  write({ kind: "ok", revision: 21 });
+  assert.deepEqual(
+    sent.map((changes) => changes.map((change) => ("put" in change ? change.put : change.delete))),
+    [[keys.chunk("job-1", 0)]],
+  );
+  assert.equal(job.isDurablyDone(0), true);
+  assert.deepEqual([job.chunkOf(0).version, job.chunkOf(0).isDirty], [21, false]);
+});
+
+const repeated: CompareAndSwapOutcome[] = [
+  { kind: "refused" },
+  { kind: "no lease" },
+  { kind: "unknown" },
+  { kind: "conflict", failed: [] },
+];
+for (const outcome of repeated) {
+  test(`a write whose outcome is "${outcome.kind}"${"failed" in outcome ? " without a key" : ""} is repeated after a pause`, async () => {
+    const { clock, job, reads, write, dueWrites } = writerWith();
+    write(outcome);
+    assert.deepEqual([job.chunkOf(0).isDirty, job.isDurablyDone(0)], [true, false]);
+    assert.equal(dueWrites(), 0);
+    await clock.advance(150);
+    assert.equal(dueWrites(), 1);
+    assert.deepEqual(reads, []);
+  });
+}
+
+test("a conflict on the term's key ends the term: nothing is read or written again", async () => {
+  const { clock, reads, deposed, write, dueWrites } = writerWith();
+  write({ kind: "conflict", failed: [keys.chunk("job-1", 0), keys.term] });
+  await clock.advance(10_000);
+  assert.deepEqual([deposed, reads, dueWrites()], [[TERM], [], 0]);
+});
+
+function found(key: string, value: unknown): ReadOutcome {
+  return { kind: "found", item: { key, value, version: 30 } };
+}
+
+const head = keys.head("job-1");
+const conflicts: {
+  name: string;
+  failed: string;
+  stored?: Record<string, ReadOutcome>;
+  reads: string[];
+  check: (writer: ReturnType<typeof writerWith>) => void;
+}[] = [
+  {
+    name: "a chunk's key: its version is taken over",
+    failed: keys.chunk("job-1", 0),
+    stored: { [keys.chunk("job-1", 0)]: found(keys.chunk("job-1", 0), {}) },
+    reads: [keys.chunk("job-1", 0)],
+    check: ({ job }) => assert.equal(job.chunkOf(0).version, 30),
+  },
+  {
+    name: "a chunk's key that does not exist: it is to be created",
+    failed: keys.chunk("job-1", 0),
+    reads: [keys.chunk("job-1", 0)],
+    check: ({ job }) => assert.equal(job.chunkOf(0).version, 0),
+  },
+  {
+    name: "the head: its cancellation is applied",
+    failed: head,
+    stored: {
+      [head]: found(head, encodeHead({ spec, acceptedAt: new Date(1), cancelledAt: new Date(2) })),
+    },
+    reads: [head],
+    check: ({ job, cancelled }) => assert.deepEqual([cancelled, job.headVersion], [["job-1"], 30]),
+  },
+  {
+    name: "a head that does not exist, beside a final record: the job has moved already",
+    failed: head,
+    stored: {
+      [keys.final("job-1")]: found(keys.final("job-1"), encodeFinal({ isCancelled: false, tasks: 2 })),
+    },
+    reads: [head, keys.final("job-1")],
+    check: ({ jobs }) => assert.equal(jobs.get("job-1"), undefined),
+  },
+  {
+    name: "the machine types' key: its version is taken over",
+    failed: keys.types,
+    stored: { [keys.types]: found(keys.types, {}) },
+    reads: [keys.types],
+    check: ({ singletons }) => assert.deepEqual([singletons.typesVersion, singletons.movesVersion], [30, 0]),
+  },
+  {
+    name: "the moves' key: its version is taken over",
+    failed: keys.moves,
+    stored: { [keys.moves]: found(keys.moves, {}) },
+    reads: [keys.moves],
+    check: ({ singletons }) => assert.deepEqual([singletons.typesVersion, singletons.movesVersion], [0, 30]),
+  },
+];
+for (const { name, failed, stored, reads, check } of conflicts) {
+  test(`a conflict on ${name}, and the write is repeated`, async () => {
+    const writer = writerWith(stored);
+    writer.write({ kind: "conflict", failed: [failed] });
+    await writer.applyReads();
+    assert.deepEqual(writer.reads, reads);
+    check(writer);
+    assert.equal(writer.dueWrites(), 1);
+  });
+}
+
+test("a key that can't be read after a conflict is read again after a pause", async () => {
+  const key = keys.chunk("job-1", 0);
+  const { clock, reads, write, applyReads, dueWrites } = writerWith({ [key]: { kind: "failed" } });
+  write({ kind: "conflict", failed: [key] });
+  await applyReads();
+  assert.deepEqual([reads, dueWrites()], [[key], 0]);
+  await clock.advance(200);
+  assert.deepEqual(reads, [key, key]);
+});
--- /dev/null
+++ b/test/records.test.ts
@@ -0,0 +1,158 @@
+import assert from "node:assert/strict";
+import test from "node:test";
+import {
+  decodeChunk,
+  decodeFinal,
+  decodeHead,
+  encodeChunk,
+  encodeFinal,
+  encodeHead,
+  jobIdOfHeadKey,
+  jobIdOfKey,
+  keys,
+  parseChunkKey,
+  TASKS_PER_CHUNK,
+  type ChunkRecord,
+  type FinalRecord,
+  type JobHead,
+} from "../src/bookkeeping/records.js";
+import type { JobSpec } from "../src/protocol/model.js";
+
+// Stored values are golden: records of other versions have to be read, and other versions have to read ours.
+
+const spec: JobSpec = {
+  id: "job-1",
+  className: "batch",
+  team: "blue",
+  kind: "array",
+  priority: 2,
+  tasks: 3,
+  cpus: 1.5,
+  gpus: 0,
+  memoryGb: 4,
+  image: "solver",
+  imageGb: 2.5,
+  types: ["small", "large"],
+  zone: null,
+  oneZone: false,
+  spread: true,
+  spot: true,
+  estimateS: 60,
+  checkpointS: 30,
+  saveS: 2,
+  deadlineS: null,
+};
+const storedSpec =
+  '"id":"job-1","className":"batch","team":"blue","kind":"array","priority":2,"tasks":3,"cpus":1.5,"gpus":0,' +
+  '"memoryGb":4,"image":"solver","imageGb":2.5,"types":["small","large"],"zone":null,"oneZone":false,"spread":true,' +
+  '"spot":true,"estimateS":60,"checkpointS":30,"saveS":2,"deadlineS":null';
+const acceptedAt = new Date(1_790_000_000_000);
+const cancelledAt = new Date(1_790_000_060_500);
+
+const heads: { name: string; stored: string; head: JobHead }[] = [
+  {
+    name: "a job that is not cancelled",
+    stored: `{${storedSpec},"at":1790000000000,"x":false}`,
+    head: { spec, acceptedAt, cancelledAt: null },
+  },
+  {
+    name: "a cancelled job",
+    stored: `{${storedSpec},"at":1790000000000,"x":true,"xAt":1790000060500}`,
+    head: { spec, acceptedAt, cancelledAt },
+  },
+];
+for (const { name, stored, head } of heads) {
+  test(`the head of ${name} is stored in its golden form and read back`, () => {
+    assert.equal(JSON.stringify(encodeHead(head)), stored);
+    assert.deepEqual(decodeHead(JSON.parse(stored)), head);
+  });
+}
+
+test("a head cancelled before version 0.4.0 has no time of it: the acceptance stands for it", () => {
+  const stored = `{${storedSpec},"at":1790000000000,"x":true}`;
+  assert.deepEqual(decodeHead(JSON.parse(stored)), { spec, acceptedAt, cancelledAt: acceptedAt });
+});
+
+const finals: { name: string; stored: string; final: FinalRecord }[] = [
+  { name: "a job that is done", stored: '{"x":false,"n":3}', final: { isCancelled: false, tasks: 3 } },
+  { name: "a cancelled job", stored: '{"x":true,"n":100000}', final: { isCancelled: true, tasks: 100_000 } },
+];
+for (const { name, stored, final } of finals) {
+  test(`the final record of ${name} is stored in its golden form and read back`, () => {
+    assert.equal(JSON.stringify(encodeFinal(final)), stored);
+    assert.deepEqual(decodeFinal(JSON.parse(stored)), final);
+  });
+}
+
+/** A bitmap in which these tasks are done. */
+function bitmap(...tasks: number[]): Uint8Array {
+  const done = new Uint8Array(TASKS_PER_CHUNK / 8);
+  for (const task of tasks) done[task >> 3]! |= 1 << (task & 7);
+  return done;
+}
+
+const chunks: { name: string; stored: string; chunk: ChunkRecord }[] = [
+  {
+    name: "without attempts",
+    stored: '{"d":"AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAI=","m":[],"a":[]}',
+    chunk: { done: bitmap(0, 249), attempts: [] },
+  },
+  {
+    name: "with attempts, their machines named once",
+    stored:
+      '{"d":"gAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=","m":["m-1 north","m-2 south"],' +
+      '"a":[[1,50331648,0],[2,50331649,1],[300,50331650,0]]}',
+    chunk: {
+      done: bitmap(7),
+      attempts: [
+        { task: 1, attempt: 50_331_648, machine: "m-1", zone: "north" },
+        { task: 2, attempt: 50_331_649, machine: "m-2", zone: "south" },
+        { task: 300, attempt: 50_331_650, machine: "m-1", zone: "north" },
+      ],
+    },
+  },
+];
+for (const { name, stored, chunk } of chunks) {
+  test(`a chunk ${name} is stored in its golden form and read back`, () => {
+    assert.equal(JSON.stringify(encodeChunk(chunk)), stored);
+    assert.deepEqual(decodeChunk(JSON.parse(stored)), chunk);
+  });
+}
+
+const unreadable: { name: string; decode: (value: unknown) => unknown; stored: unknown }[] = [
+  { name: "a head that is no object", decode: decodeHead, stored: "head" },
+  { name: "a head without its acceptance", decode: decodeHead, stored: { ...spec, x: false } },
+  { name: "a head without an id", decode: decodeHead, stored: { ...spec, id: "", at: 1, x: false } },
+  {
+    name: "a head whose number of tasks is none",
+    decode: decodeHead,
+    stored: { ...spec, tasks: 1.5, at: 1 },
+  },
+  { name: "a final record without its number of tasks", decode: decodeFinal, stored: { x: true } },
+  { name: "a chunk without a bitmap", decode: decodeChunk, stored: { m: [], a: [] } },
+  { name: "a chunk without machines", decode: decodeChunk, stored: { d: "", a: [] } },
+  { name: "a chunk without attempts", decode: decodeChunk, stored: { d: "", m: [] } },
+  { name: "an attempt on no machine", decode: decodeChunk, stored: { d: "", m: [], a: [[0, 1, 0]] } },
+];
+for (const { name, decode, stored } of unreadable) {
+  test(`${name} is not read`, () => assert.equal(decode(stored), null));
+}
+
+test("keys are where other versions look for them", () => {
+  assert.deepEqual(
+    [keys.term, keys.leader, keys.leadership, keys.live, keys.chunks, keys.types, keys.moves],
+    ["lead/term", "lead/hold", "lead/", "j/", "c/", "types", "moves"],
+  );
+  assert.deepEqual(
+    [keys.head("job-1"), keys.final("job-1"), keys.chunk("job-1", 3)],
+    ["j/job-1", "f/job-1", "c/job-1/3"],
+  );
+});
+
+test("a job's id and a chunk's index are read from keys", () => {
+  assert.equal(jobIdOfHeadKey(keys.head("job-1")), "job-1");
+  for (const key of [keys.head("job-1"), keys.final("job-1"), keys.chunk("job-1", 3)])
+    assert.equal(jobIdOfKey(key), "job-1", key);
+  assert.deepEqual(parseChunkKey(keys.chunk("job-1", 3)), { id: "job-1", index: 3 });
+  assert.ok(Number.isNaN(parseChunkKey("c/job-1").index));
+});
