--- a/src/main.ts
+++ b/src/main.ts
@@ -1,100 +1,51 @@
-import { readFileSync } from "node:fs";
-import { parseArgs } from "node:util";
-import { loadOperator } from "./settings/operator.js";
-import { loadPlatform } from "./settings/platform.js";
+/** The command line: finds the command, and turns its outcome into an exit code. Each command is a file in `cli/`. */
+import { parseArguments, UsageError } from "./cli/arguments.js";
+import { check } from "./cli/check.js";
+import { ExitCode } from "./cli/exitCode.js";
+import { HELP } from "./cli/help.js";
+import { serve } from "./cli/serve.js";
+import { version } from "./cli/version.js";
 import { SettingsError } from "./settings/settingsError.js";
-import { systemClock } from "./transport/clock.js";
-import { log, configureLog } from "./transport/log.js";
 
-const HELP = `lichenturn - rents cloud machines and runs its users' jobs on them
-
-  lichenturn serve --config FILE [--operator FILE]   run a controller until it is killed
-  lichenturn check --config FILE [--operator FILE]   check settings and say what is wrong with them
-  lichenturn job submit --server ADDRESS FILE        submit the job described in FILE (- for standard input)
-  lichenturn job show --server ADDRESS ID            show a job's state
-  lichenturn job cancel --server ADDRESS ID          cancel a job
-  lichenturn --help | --version
-
-  --config FILE     the platform's settings (TOML)
-  --operator FILE   the operators' own settings (XML); defaults without it
-  --server ADDRESS  a controller's or load balancer's address, such as 127.0.0.1:8080
-
-Logs go to standard error, as much as LOG_LEVEL asks for: error, info (default) or debug.
-Exit codes: 0 done; 1 the service refused or failed; 2 wrong usage or settings.
-`;
-
-class UsageError extends Error {}
-
-function version(): string {
-  const text = readFileSync(new URL("../package.json", import.meta.url), "utf8");
-  return (JSON.parse(text) as { version: string }).version;
-}
-
-async function main(argv: string[]): Promise<number> {
-  const { values, positionals } = parseArgs({
-    args: argv,
-    allowPositionals: true,
-    options: {
-      config: { type: "string" },
-      operator: { type: "string" },
-      server: { type: "string" },
-      help: { type: "boolean", short: "h" },
-      version: { type: "boolean", short: "V" },
-    },
-  });
-  if (values.help) {
+/** Runs the command that the arguments name; null: the process goes on until it is killed. */
+async function run(argv: string[]): Promise<ExitCode | null> {
+  const options = parseArguments(argv);
+  if (options.help) {
     process.stdout.write(HELP);
-    return 0;
+    return ExitCode.done;
   }
-  if (values.version) {
+  if (options.version) {
     process.stdout.write(`lichenturn ${version()}\n`);
-    return 0;
+    return ExitCode.done;
   }
-  const [verb, ...rest] = positionals;
-  switch (verb) {
+  const [command, ...operands] = options.positionals;
+  switch (command) {
     case "serve":
-    case "check": {
-      if (rest.length > 0) throw new UsageError(`unexpected argument ${JSON.stringify(rest[0])}`);
-      if (values.config === undefined) throw new UsageError(`${verb} needs --config FILE`);
-      const platform = loadPlatform(values.config);
-      const operator = await loadOperator(values.operator);
-      if (verb === "check") {
-        process.stdout.write(`settings are fine: node ${platform.node}, ${platform.teams.length} teams\n`);
-        return 0;
-      }
-      configureLog(process.env.LOG_LEVEL, platform.node);
-      process.on("uncaughtException", (error) => log.error(`uncaught: ${String(error.stack ?? error)}`));
-      process.on("unhandledRejection", (error) => log.error(`unhandled: ${String(error)}`));
-      const { serve } = await import("./controller/controller.js");
-      await serve(platform, operator, systemClock);
-      return -1;
-    }
+      await serve(operands, options);
+      return null;
+    case "check":
+      return check(operands, options);
     case "job": {
-      const { runJobCall } = await import("./cli/jobCommand.js");
-      const [call, what, ...more] = rest;
-      if (call !== "submit" && call !== "show" && call !== "cancel") {
-        throw new UsageError("job takes submit, show or cancel");
-      }
-      if (what === undefined || more.length > 0) throw new UsageError(`job ${call} takes one argument`);
-      if (values.server === undefined) throw new UsageError(`job ${call} needs --server ADDRESS`);
-      return runJobCall(call, values.server, what);
+      // Loaded only here: the start of a controller doesn't pay for it.
+      const { job } = await import("./cli/job.js");
+      return job(operands, options);
     }
     case undefined:
       throw new UsageError("no command given");
     default:
-      throw new UsageError(`unknown command ${JSON.stringify(verb)}`);
+      throw new UsageError(`unknown command ${JSON.stringify(command)}`);
   }
 }
 
-main(process.argv.slice(2)).then(
-  (code) => {
-    if (code >= 0) process.exitCode = code;
-  },
-  (error: unknown) => {
-    const usage =
-      error instanceof UsageError || (error as { code?: string }).code?.startsWith("ERR_PARSE_ARGS");
-    const message = error instanceof Error ? error.message : String(error);
-    process.stderr.write(`lichenturn: ${message}\n${usage ? "Try lichenturn --help.\n" : ""}`);
-    process.exit(usage || error instanceof SettingsError ? 2 : 1);
-  },
-);
+/** Says on standard error why the command failed, and ends the process. */
+function fail(error: unknown): never {
+  const message = error instanceof Error ? error.message : String(error);
+  const hint = error instanceof UsageError ? "Try lichenturn --help.\n" : "";
+  process.stderr.write(`lichenturn: ${message}\n${hint}`);
+  const isUsersMistake = error instanceof UsageError || error instanceof SettingsError;
+  process.exit(isUsersMistake ? ExitCode.usage : ExitCode.failed);
+}
+
+run(process.argv.slice(2)).then((exitCode) => {
+  if (exitCode !== null) process.exitCode = exitCode;
+}, fail);
--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -11,7 +11,7 @@
 /** What is expected of the service, such as "the share of this class's jobs that start within a time". */
 export interface Objective {
   kind: string;
-  /** The class of jobs that it concerns; null: all. */
+  /** The class of jobs that it concerns; null: it names none. */
   className: string | null;
   /** Seconds; null: the kind has no time. */
   withinS: number | null;
--- a/src/settings/settingsFile.ts
+++ b/src/settings/settingsFile.ts
@@ -1,15 +1,6 @@
-/** Reads a settings file, and says in words why it can't be read. */
-import { readFileSync } from "node:fs";
+/** Reads a settings file. */
 import { SettingsError } from "./settingsError.js";
-
-/** The system's error codes in words. */
-const REASONS: Record<string, string> = {
-  ENOENT: "no such file",
-  EISDIR: "is a folder, not a file",
-  ENOTDIR: "no such file: a part of its path is not a folder",
-  EACCES: "this user may not read it",
-  EPERM: "this user may not read it",
-};
+import { readTextFile, UnreadableFileError } from "./textFile.js";
 
 /**
  * The file's text.
@@ -18,9 +9,9 @@
  */
 export function readSettingsFile(path: string, hint: string): string {
   try {
-    return readFileSync(path, "utf8");
+    return readTextFile(path);
   } catch (error) {
-    const { code, message } = error as NodeJS.ErrnoException;
-    throw new SettingsError(`${path}: ${REASONS[code ?? ""] ?? message}. ${hint}`);
+    if (error instanceof UnreadableFileError) throw new SettingsError(`${error.message}. ${hint}`);
+    throw error;
   }
 }
