--- /dev/null
+++ b/test/cli.test.ts
@@ -0,0 +1,193 @@
+/** The command line as its users meet it: exit codes, what is printed where, and the example settings. */
+import assert from "node:assert/strict";
+import { spawn } from "node:child_process";
+import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
+import * as http from "node:http";
+import type { AddressInfo } from "node:net";
+import { tmpdir } from "node:os";
+import { join } from "node:path";
+import test, { after, before, describe } from "node:test";
+import { fileURLToPath } from "node:url";
+
+const main = fileURLToPath(new URL("../src/main.js", import.meta.url));
+/** The repository's root, seen from the compiled test. */
+const root = fileURLToPath(new URL("../../../", import.meta.url));
+const exampleSettings = join(root, "deploy/example-settings.toml");
+const exampleOperator = join(root, "deploy/example-operator.xml");
+
+interface Run {
+  code: number | null;
+  stdout: string;
+  stderr: string;
+}
+
+/** Runs the program in an empty folder, while this process goes on. */
+function lichenturn(args: string[], input = ""): Promise<Run> {
+  return new Promise((resolve, reject) => {
+    const child = spawn(process.execPath, [main, ...args], { cwd: folder, timeout: 20_000 });
+    const run: Run = { code: null, stdout: "", stderr: "" };
+    child.stdout.on("data", (part: Buffer) => (run.stdout += part.toString()));
+    child.stderr.on("data", (part: Buffer) => (run.stderr += part.toString()));
+    child.on("error", reject);
+    child.on("close", (code) => resolve({ ...run, code }));
+    child.stdin.end(input);
+  });
+}
+
+let folder = "";
+before(() => {
+  folder = mkdtempSync(join(tmpdir(), "lichenturn-cli-"));
+  writeFileSync(join(folder, "words.txt"), "# no settings and no job\n");
+});
+after(() => rmSync(folder, { recursive: true }));
+
+describe("the examples in deploy/", () => {
+  test("are accepted by check", async () => {
+    const run = await lichenturn(["check", "--config", exampleSettings, "--operator", exampleOperator]);
+    assert.deepEqual(run, { code: 0, stdout: "settings are fine: node n0, 2 teams\n", stderr: "" });
+  });
+});
+
+test("help goes to standard output and names every command", async () => {
+  for (const flag of ["--help", "-h"]) {
+    const run = await lichenturn([flag]);
+    assert.deepEqual([run.code, run.stderr], [0, ""]);
+    for (const command of ["serve", "check", "job submit", "job show", "job cancel"])
+      assert.match(run.stdout, new RegExp(`^ {2}lichenturn ${command} `, "m"));
+  }
+});
+
+describe("wrong usage is explained on standard error, with exit code 2 and a pointer to the help", () => {
+  const cases: [string[], string][] = [
+    [[], "no command given"],
+    [["frob"], 'unknown command "frob"'],
+    [["check"], "check needs --config FILE"],
+    [["serve"], "serve needs --config FILE"],
+    [["check", "more", "--config", "x.toml"], 'unexpected argument "more"'],
+    [["check", "--config"], "Option '--config <value>' argument missing"],
+    [["job"], "job takes submit, show or cancel"],
+    [["job", "stop", "job-1"], "job takes submit, show or cancel"],
+    [["job", "show"], "job show takes one argument"],
+    [["job", "show", "job-1", "job-2"], "job show takes one argument"],
+    [["job", "cancel", "job-1"], "job cancel needs --server ADDRESS"],
+  ];
+  for (const [args, message] of cases)
+    test(`lichenturn ${args.join(" ")}`, async () => {
+      const run = await lichenturn(args);
+      const stderr = `lichenturn: ${message}\nTry lichenturn --help.\n`;
+      assert.deepEqual(run, { code: 2, stdout: "", stderr });
+    });
+  test("lichenturn --frob", async () => {
+    const run = await lichenturn(["--frob"]);
+    assert.deepEqual([run.code, run.stdout], [2, ""]);
+    assert.match(run.stderr, /^lichenturn: Unknown option '--frob'[^\n]*\nTry lichenturn --help\.\n$/);
+  });
+});
+
+describe("a settings file that can't be read is explained in one line, with exit code 2", () => {
+  const platformHint =
+    "--config takes the platform's settings (TOML); deploy/example-settings.toml is an example.";
+  const operatorHint =
+    "--operator takes the operators' settings (XML); deploy/example-operator.xml is an example.";
+  const cases: [string[], string][] = [
+    [["--config", "none.toml"], `none.toml: no such file. ${platformHint}`],
+    [["--config", "."], `.: is a folder, not a file. ${platformHint}`],
+    [
+      ["--config", "words.txt/x.toml"],
+      `words.txt/x.toml: no such file: a part of its path is not a folder. ${platformHint}`,
+    ],
+    [["--config", exampleSettings, "--operator", "none.xml"], `none.xml: no such file. ${operatorHint}`],
+  ];
+  for (const command of ["check", "serve"])
+    for (const [args, message] of cases)
+      test(`${command}: ${message}`, async () => {
+        const run = await lichenturn([command, ...args]);
+        assert.deepEqual(run, { code: 2, stdout: "", stderr: `lichenturn: ${message}\n` });
+      });
+  test("check: a file of another form", async () => {
+    const asPlatform = await lichenturn(["check", "--config", "words.txt"]);
+    assert.equal(asPlatform.code, 2);
+    assert.match(asPlatform.stderr, /^lichenturn: (not TOML: [^\n]+|endpoints: missing[^]+)\n$/);
+    const asOperator = await lichenturn(["check", "--config", exampleSettings, "--operator", "words.txt"]);
+    assert.equal(asOperator.code, 2);
+    assert.match(asOperator.stderr, /^lichenturn: not XML: [^\n]+\n$/);
+  });
+});
+
+describe("job", () => {
+  interface Call {
+    method: string | undefined;
+    url: string | undefined;
+    body: string;
+  }
+  let server: http.Server;
+  let address = "";
+  let calls: Call[] = [];
+  let response = { status: 200, body: {} };
+
+  before(async () => {
+    server = http.createServer((request, reply) => {
+      let body = "";
+      request.on("data", (part: Buffer) => (body += part.toString()));
+      request.on("end", () => {
+        calls.push({ method: request.method, url: request.url, body });
+        reply.writeHead(response.status).end(JSON.stringify(response.body));
+      });
+    });
+    await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
+    address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
+    writeFileSync(join(folder, "job.json"), '{"ref":"job-7"}');
+  });
+  after(() => server.close());
+
+  const actions: [string, string, string, Call][] = [
+    ["submit", "job.json", "", { method: "POST", url: "/v1/jobs", body: '{"ref":"job-7"}' }],
+    ["submit", "-", '{ "ref": "job-8" }', { method: "POST", url: "/v1/jobs", body: '{"ref":"job-8"}' }],
+    ["show", "job-7", "", { method: "GET", url: "/v1/jobs/job-7", body: "" }],
+    ["cancel", "job-7", "", { method: "POST", url: "/v1/jobs/job-7/cancel", body: "{}" }],
+  ];
+  for (const [action, operand, input, call] of actions)
+    test(`${action} ${operand} sends its request and prints the response`, async () => {
+      calls = [];
+      response = { status: action === "submit" ? 201 : 200, body: { ref: "job-7", phase: "pending" } };
+      const run = await lichenturn(["job", action, operand, "--server", address], input);
+      assert.deepEqual(run, { code: 0, stdout: '{"ref":"job-7","phase":"pending"}\n', stderr: "" });
+      assert.deepEqual(calls, [call]);
+    });
+
+  test("a refusal is printed with its status on standard error, with exit code 1", async () => {
+    response = { status: 404, body: { error: "no such job" } };
+    const run = await lichenturn(["job", "show", "job-9", "--server", address]);
+    assert.deepEqual(run, { code: 1, stdout: "", stderr: '404 {"error":"no such job"}\n' });
+  });
+
+  test("an answer that never comes: exit code 1, and whether the request may have been carried out", async () => {
+    const closed = http.createServer((_request, reply) => reply.destroy());
+    await new Promise<void>((resolve) => closed.listen(0, "127.0.0.1", resolve));
+    const closedAddress = `127.0.0.1:${(closed.address() as AddressInfo).port}`;
+    const cut = await lichenturn(["job", "show", "job-7", "--server", closedAddress]);
+    assert.deepEqual([cut.code, cut.stdout], [1, ""]);
+    assert.match(
+      cut.stderr,
+      /^lichenturn: no answer: [^\n]+; the request may have been carried out; it is safe to repeat it\n$/,
+    );
+    await new Promise((resolve) => closed.close(resolve));
+    const refused = await lichenturn(["job", "show", "job-7", "--server", closedAddress]);
+    assert.deepEqual([refused.code, refused.stdout], [1, ""]);
+    assert.match(refused.stderr, /^lichenturn: no answer: [^\n]+; is a controller running there\?\n$/);
+  });
+
+  const mistakes: [string[], string, string][] = [
+    [["submit", "none.json"], "127.0.0.1:1", "none.json: no such file"],
+    [["submit", "words.txt"], "127.0.0.1:1", "words.txt: not JSON: "],
+    [["show", "seven"], "127.0.0.1:1", "seven: a job's id looks like job-000412"],
+    [["show", "job-7"], "here", "--server here: must be an address such as 127.0.0.1:8080"],
+  ];
+  for (const [args, serverAddress, message] of mistakes)
+    test(`a mistake is named, with exit code 1: ${message}`, async () => {
+      const run = await lichenturn(["job", ...args, "--server", serverAddress]);
+      assert.deepEqual([run.code, run.stdout], [1, ""]);
+      assert.ok(run.stderr.startsWith(`lichenturn: ${message}`), run.stderr);
+      assert.match(run.stderr, /^[^\n]+\n$/);
+    });
+});
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -7,7 +7,7 @@
   encodeHead,
   TASKS_PER_CHUNK,
 } from "../src/bookkeeping/records.js";
-import { rejectionReason } from "../src/coordination/admission/admission.js";
+import { rejectionReason } from "../src/coordination/admission/rejectionReason.js";
 import type { JobSpec } from "../src/protocol/model.js";
 import { decodePeerMessage, encodePeerMessage } from "../src/protocol/peers/codec.js";
 import type { PeerMessage } from "../src/protocol/peers/messages.js";
