--- a/src/bookkeeping/liveJobCache.ts
+++ b/src/bookkeeping/liveJobCache.ts
@@ -1,3 +1,4 @@
+/** Fresh reads of the live jobs for users' requests: many requests share one read of the state store. */
 import type { Clock } from "../transport/clock.js";
 import { decodeHead, jobIdOfHeadKey, keys, type JobHead } from "./records.js";
 import type { Item, StateStoreClient } from "./stateStoreClient.js";
--- a/src/bookkeeping/quotaUsage.ts
+++ b/src/bookkeeping/quotaUsage.ts
@@ -1,3 +1,4 @@
+/** Use of teams' quotas. Everything counts that is planned and not yet proved gone (rule `quota`). */
 import type { JobSpec } from "../protocol/model.js";
 import type { Team } from "../settings/platform.js";
 
--- a/src/bookkeeping/stateStoreClient.ts
+++ b/src/bookkeeping/stateStoreClient.ts
@@ -1,3 +1,7 @@
+/**
+ * The state store's client: keeps to its limits, retries what was certainly not carried out, and says of everything
+ * else that the outcome is unknown.
+ */
 import { TokenBucket } from "../transport/tokenBucket.js";
 import type { Clock } from "../transport/clock.js";
 import type { HttpCaller, ClientResponse } from "../transport/httpClient.js";
--- a/src/bookkeeping/taskChunk.ts
+++ b/src/bookkeeping/taskChunk.ts
@@ -1,3 +1,6 @@
+/**
+ * A job's tasks are kept in chunks, one stored record each, so that a job of 100,000 tasks is never written whole.
+ */
 import { BITMAP_BYTES, TASKS_PER_CHUNK } from "./records.js";
 
 /**
--- a/src/coordination/consolidation/consolidationRounds.ts
+++ b/src/coordination/consolidation/consolidationRounds.ts
@@ -1,3 +1,7 @@
+/**
+ * Rounds of consolidation (the paper's squeeze and release): the moves of a round are durable before the first of
+ * them begins.
+ */
 import type { Attempt } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import type { Clock } from "../../transport/clock.js";
--- a/src/coordination/consolidation/consolidationSnapshot.ts
+++ b/src/coordination/consolidation/consolidationSnapshot.ts
@@ -1,3 +1,4 @@
+/** Machines and tasks as one round of consolidation sees them. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { Resources } from "../../bookkeeping/resources.js";
 import type { MachineType } from "../../protocol/model.js";
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -1,3 +1,4 @@
+/** The actor that leads while this controller holds a term. Everything of a term lives and ends with it. */
 import type { DeliveryResult, MachineType } from "../../protocol/model.js";
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { Timer } from "../../transport/clock.js";
--- a/src/coordination/leader/leaderOptions.ts
+++ b/src/coordination/leader/leaderOptions.ts
@@ -1,3 +1,4 @@
+/** What a leader is given by its controller. */
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { CommandDelivery, MachineType } from "../../protocol/model.js";
 import type { Grant, TaskCounts } from "../../protocol/peers/messages.js";
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -1,3 +1,4 @@
+/** One term at work: hands each message and each tick down to the parts that it concerns, in a fixed order. */
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import { FleetUsageLog } from "../provisioning/fleetUsageLog.js";
 import type { TermLease } from "../term/termLease.js";
--- a/src/coordination/leader/taskCountPublisher.ts
+++ b/src/coordination/leader/taskCountPublisher.ts
@@ -1,3 +1,4 @@
+/** Progress of jobs for display at all controllers; nothing relies on it. */
 import type { Job } from "../../bookkeeping/workload.js";
 import type { TaskCounts } from "../../protocol/peers/messages.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
--- a/src/coordination/leader/termMessage.ts
+++ b/src/coordination/leader/termMessage.ts
@@ -1,3 +1,4 @@
+/** The messages that belong to one term. */
 import type { DeliveryResult } from "../../protocol/model.js";
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { MachineEvent } from "../provisioning/cloudEvents.js";
--- a/src/coordination/leadership/checkTimer.ts
+++ b/src/coordination/leadership/checkTimer.ts
@@ -1,3 +1,4 @@
+/** The elector's one timer: when it next renews its lease or reads who leads. */
 import type { Clock, Timer } from "../../transport/clock.js";
 
 /** A delay with a random part, so that controllers that failed together don't try again together. */
--- a/src/coordination/leadership/electorMessages.ts
+++ b/src/coordination/leadership/electorMessages.ts
@@ -1,3 +1,4 @@
+/** The messages that an elector takes, its own and those of other controllers. */
 import type { PeerMessage } from "../../protocol/peers/messages.js";
 import type { LeadershipView } from "./leadershipRecord.js";
 import type { WonTerm } from "./leadershipStore.js";
--- a/src/coordination/leadership/electorOptions.ts
+++ b/src/coordination/leadership/electorOptions.ts
@@ -1,3 +1,4 @@
+/** What an elector is given by its controller. */
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { PeerMessage } from "../../protocol/peers/messages.js";
 import type { Clock } from "../../transport/clock.js";
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -1,3 +1,4 @@
+/** Lease expiry as a proof that a silent machine's tasks are gone (rule `ran_twice`). */
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
 import { leaseExpiredEverywhereFromMs, leaseExpiredFromMs } from "../term/leaseProofs.js";
--- a/src/coordination/machines/silenceCounts.ts
+++ b/src/coordination/machines/silenceCounts.ts
@@ -1,3 +1,4 @@
+/** Tells a silent machine from a silent zone or controller, by counting who else is silent. */
 import type { Machine } from "../../bookkeeping/workload.js";
 
 /** Machines that are up, silent ones among them. */
--- a/src/coordination/machines/unsentStarts.ts
+++ b/src/coordination/machines/unsentStarts.ts
@@ -1,3 +1,4 @@
+/** Starts that were planned and never sent need no proof: they may be given up at once. */
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { Attempts } from "../term/attempts.js";
 
--- a/src/coordination/provisioning/capacityRefusals.ts
+++ b/src/coordination/provisioning/capacityRefusals.ts
@@ -1,3 +1,4 @@
+/** What the cloud had none of lately, and when to ask for it again. */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import { allowsPlacement, fittingTasks } from "../scheduling/fitting.js";
 import { machineKindKey, purchaseKinds, type MachineKind } from "./machineOrders.js";
--- a/src/coordination/provisioning/cloudCallQueue.ts
+++ b/src/coordination/provisioning/cloudCallQueue.ts
@@ -1,3 +1,4 @@
+/** Calls to the cloud that wait for its rate, the most pressing first. */
 import type { CloudCall } from "./cloudCalls.js";
 import type { ScaleOutOrder } from "./machineOrders.js";
 
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -1,3 +1,4 @@
+/** The cloud's client: within its rate, with bounded backoff, never ordering anything twice. */
 import { isNoCapacity } from "../../protocol/cloud.js";
 import type { Clock, Timer } from "../../transport/clock.js";
 import type { HttpCaller, ClientResponse } from "../../transport/httpClient.js";
--- a/src/coordination/provisioning/fleetUsageLog.ts
+++ b/src/coordination/provisioning/fleetUsageLog.ts
@@ -1,3 +1,4 @@
+/** One log line a minute on what the paid machines do. */
 import type { Resources } from "../../bookkeeping/resources.js";
 import type { Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
--- a/src/coordination/provisioning/openOrders.ts
+++ b/src/coordination/provisioning/openOrders.ts
@@ -1,3 +1,4 @@
+/** Orders that the cloud has not answered yet. */
 import type { MachineKind, ScaleOutOrder, ScaleOutTarget } from "./machineOrders.js";
 
 /** Orders under way at the same time: the cloud answers only a few calls a second. */
--- a/src/coordination/provisioning/provisioner.ts
+++ b/src/coordination/provisioning/provisioner.ts
@@ -1,3 +1,4 @@
+/** Scales the fleet out and in, and follows what the cloud says of machines. */
 import type { JobSpec, ListedMachine } from "../../protocol/model.js";
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
--- a/src/coordination/provisioning/scaleOutPlan.ts
+++ b/src/coordination/provisioning/scaleOutPlan.ts
@@ -1,3 +1,4 @@
+/** The decision which machines to order for work that found no place. */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import { allowsPlacement, fits, fittingTasks, subtractTasks, zoneRoom } from "../scheduling/fitting.js";
 import type { AcceleratorReserve, JobView, MachineView } from "../scheduling/views.js";
--- a/src/coordination/records/jobRecords.ts
+++ b/src/coordination/records/jobRecords.ts
@@ -1,3 +1,4 @@
+/** Connects stored records of jobs with the registry of live jobs. */
 import { Job, type Attempt } from "../../bookkeeping/workload.js";
 import {
   decodeChunk,
--- a/src/coordination/records/recordLoader.ts
+++ b/src/coordination/records/recordLoader.ts
@@ -1,3 +1,4 @@
+/** The first step of a term: what earlier leaders left in the state store. */
 import type { MachineType } from "../../protocol/model.js";
 import { decodeMachineTypes } from "../../protocol/cloud.js";
 import { keys } from "../../bookkeeping/records.js";
--- a/src/coordination/records/recordWatcher.ts
+++ b/src/coordination/records/recordWatcher.ts
@@ -1,3 +1,4 @@
+/** Follows what all controllers write of live jobs while the term lasts. */
 import { keys } from "../../bookkeeping/records.js";
 import type { StateStoreClient, WatchOutcome } from "../../bookkeeping/stateStoreClient.js";
 import type { Clock } from "../../transport/clock.js";
--- a/src/coordination/records/recordWriter.ts
+++ b/src/coordination/records/recordWriter.ts
@@ -1,3 +1,4 @@
+/** The term's only writer of attempts, results and final records. Guards the order of intent before command. */
 import type { Job, Machine } from "../../bookkeeping/workload.js";
 import { decodeFinal, jobIdOfKey, keys } from "../../bookkeeping/records.js";
 import type {
--- a/src/coordination/scheduling/completionTargets.ts
+++ b/src/coordination/scheduling/completionTargets.ts
@@ -1,3 +1,4 @@
+/** By when a job should be done: from its own deadline and the operators' service-level objectives. */
 import type { Objective } from "../../settings/platform.js";
 
 /**
--- a/src/coordination/scheduling/cycleState.ts
+++ b/src/coordination/scheduling/cycleState.ts
@@ -1,3 +1,4 @@
+/** What one cycle has decided so far, as far as it matters to the decisions that follow. */
 import type { JobSpec } from "../../protocol/model.js";
 import type { Resources } from "../../bookkeeping/resources.js";
 import { addResources, ROUNDING_TOLERANCE, subtractTasks } from "./fitting.js";
--- a/src/coordination/scheduling/estimates.ts
+++ b/src/coordination/scheduling/estimates.ts
@@ -1,3 +1,7 @@
+/**
+ * What experience teaches a leader's process: machine types, run times, needs of accelerator jobs, spot
+ * interruptions. Outlives terms, is never relied on for a proof.
+ */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import { RunTimeEstimator } from "./runTimeEstimator.js";
 import type { AcceleratorReserve } from "./views.js";
--- a/src/coordination/scheduling/fairShare.ts
+++ b/src/coordination/scheduling/fairShare.ts
@@ -1,3 +1,4 @@
+/** Large arrays without targets share the room that their team has, so that none of them waits for all others. */
 import { groupBy } from "./groupBy.js";
 import { EARLY_START_TASKS, type QueueEntry, type TeamLimit } from "./queueEntry.js";
 
--- a/src/coordination/scheduling/gangPlacement.ts
+++ b/src/coordination/scheduling/gangPlacement.ts
@@ -1,3 +1,4 @@
+/** Places gangs: all tasks of one at once, in one zone where the job asks for it, or none. */
 import type { JobSpec } from "../../protocol/model.js";
 import type { CycleState, SelectedMachine } from "./cycleState.js";
 import { allowsPlacement, fits, fittingTasks, subtractTasks } from "./fitting.js";
--- a/src/coordination/scheduling/guarantee.ts
+++ b/src/coordination/scheduling/guarantee.ts
@@ -1,3 +1,6 @@
+/**
+ * Which jobs fall within their team's guaranteed quota: these are served before borrowed work of the same priority.
+ */
 import type { Job } from "../../bookkeeping/workload.js";
 import type { Team } from "../../settings/platform.js";
 import { ROUNDING_TOLERANCE } from "./fitting.js";
--- a/src/coordination/scheduling/guaranteedJobs.ts
+++ b/src/coordination/scheduling/guaranteedJobs.ts
@@ -1,3 +1,4 @@
+/** The guaranteed jobs, kept from cycle to cycle while the set of jobs stays the same. */
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Job } from "../../bookkeeping/workload.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
--- a/src/coordination/scheduling/machineSelection.ts
+++ b/src/coordination/scheduling/machineSelection.ts
@@ -1,3 +1,4 @@
+/** Chooses machines for tasks, cheapest placement first. */
 import type { JobSpec } from "../../protocol/model.js";
 import { countInZone, type CycleState, type SelectedMachine } from "./cycleState.js";
 import { addResources, allowsPlacement, fits, zoneRoom } from "./fitting.js";
--- a/src/coordination/scheduling/machineSnapshots.ts
+++ b/src/coordination/scheduling/machineSnapshots.ts
@@ -1,3 +1,7 @@
+/**
+ * Snapshots of machines, kept from cycle to cycle while the machine stays the same: building all of them anew took
+ * most of a cycle.
+ */
 import type { MachineType } from "../../protocol/model.js";
 import type { Attempt, Machine } from "../../bookkeeping/workload.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,3 +1,7 @@
+/**
+ * The decision of one cycle: where tasks go, who is stopped for them, and what found no place. Works on snapshots
+ * alone.
+ */
 import { countInZone, CycleState } from "./cycleState.js";
 import { addResources, fittingTasks, zoneRoom } from "./fitting.js";
 import { GangPlacement } from "./gangPlacement.js";
--- a/src/coordination/scheduling/planExecutor.ts
+++ b/src/coordination/scheduling/planExecutor.ts
@@ -1,3 +1,4 @@
+/** Turns a cycle's plan into planned attempts and stops; nothing is sent before the attempts are durable. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { Objective } from "../../settings/platform.js";
 import { log } from "../../transport/log.js";
--- a/src/coordination/scheduling/preemptionPlanner.ts
+++ b/src/coordination/scheduling/preemptionPlanner.ts
@@ -1,3 +1,4 @@
+/** Makes room for a job by stopping lesser work, within the bounds of one cycle. */
 import { countInZone, removeVictims, type CycleState } from "./cycleState.js";
 import { addResources, allowsPlacement, ROUNDING_TOLERANCE, subtractTasks, zoneRoom } from "./fitting.js";
 import { fetchDelayS } from "./placementCost.js";
--- a/src/coordination/scheduling/queueEntries.ts
+++ b/src/coordination/scheduling/queueEntries.ts
@@ -1,3 +1,4 @@
+/** Builds the queue's entries from the jobs that have something to place. */
 import type { JobSpec } from "../../protocol/model.js";
 import type { Job } from "../../bookkeeping/workload.js";
 import type { Objective } from "../../settings/platform.js";
--- a/src/coordination/scheduling/queueEntry.ts
+++ b/src/coordination/scheduling/queueEntry.ts
@@ -1,3 +1,4 @@
+/** What queue order knows of a job, as of one cycle. */
 import type { Job } from "../../bookkeeping/workload.js";
 
 /** The tasks with which a job begins out of turn after its start has become overdue. */
--- a/src/coordination/scheduling/quotaView.ts
+++ b/src/coordination/scheduling/quotaView.ts
@@ -1,3 +1,4 @@
+/** Quotas as one scheduling cycle sees them: what is used, and what the cycle itself has planned (rule `quota`). */
 import type { Job } from "../../bookkeeping/workload.js";
 import { addTasks, type TeamAmount, type QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { JobSpec } from "../../protocol/model.js";
--- a/src/coordination/scheduling/reservations.ts
+++ b/src/coordination/scheduling/reservations.ts
@@ -1,3 +1,4 @@
+/** Room that is kept on machines between cycles for jobs that could not begin yet. */
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { Reservation } from "./placementPlan.js";
 
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,3 +1,4 @@
+/** The scheduling cycle from top to bottom; its steps are pure functions over snapshots, in modules of their own. */
 import type { JobSpec } from "../../protocol/model.js";
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Job } from "../../bookkeeping/workload.js";
--- a/src/coordination/term/attempts.ts
+++ b/src/coordination/term/attempts.ts
@@ -1,3 +1,7 @@
+/**
+ * The lifecycle of attempts, the one place that attaches them to jobs, machines and quotas, and takes them off
+ * again.
+ */
 import type { Attempt, Job, Machine, StopRequest } from "../../bookkeeping/workload.js";
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Clock } from "../../transport/clock.js";
--- a/src/coordination/term/cycleRequests.ts
+++ b/src/coordination/term/cycleRequests.ts
@@ -1,3 +1,4 @@
+/** When the term's next scheduling cycle begins. */
 import type { Clock } from "../../transport/clock.js";
 
 /** Shortest time from a request to its cycle: what arrives within it is placed together. */
--- a/src/coordination/term/jobRegistry.ts
+++ b/src/coordination/term/jobRegistry.ts
@@ -1,3 +1,4 @@
+/** The live jobs of a term, shared by its parts. */
 import type { Job } from "../../bookkeeping/workload.js";
 
 /** Owns the set of live jobs that the term's leader knows from their records. */
--- a/src/coordination/term/machineRegistry.ts
+++ b/src/coordination/term/machineRegistry.ts
@@ -1,3 +1,4 @@
+/** The machines of a term, shared by its parts; each field of a machine has one part that changes it. */
 import { Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
 
--- a/src/coordination/term/termLease.ts
+++ b/src/coordination/term/termLease.ts
@@ -1,3 +1,4 @@
+/** What a term's parts may do and until when: each asks here before it writes, starts or acknowledges anything. */
 import type { Clock } from "../../transport/clock.js";
 import type { LeadershipLease } from "./leadershipLease.js";
 
--- a/src/coordination/term/writeQueue.ts
+++ b/src/coordination/term/writeQueue.ts
@@ -1,3 +1,4 @@
+/** When the term's next write to the state store begins. */
 import type { Clock, Timer } from "../../transport/clock.js";
 
 /** Longest wait of results, so that many share one write; what ends a job is written at once. */
--- a/src/protocol/peers/frameWriter.ts
+++ b/src/protocol/peers/frameWriter.ts
@@ -1,3 +1,5 @@
+/** Writes the fields of a frame between controllers; numbers are big-endian. */
+
 const INITIAL_BYTES = 256;
 /** A string's length takes two bytes. */
 const MAX_STRING_BYTES = 0xffff;
--- a/src/transport/actor.ts
+++ b/src/transport/actor.ts
@@ -1,3 +1,4 @@
+/** Actors: state that only one message at a time touches, so that no lock is needed. */
 import { describeException, log } from "./log.js";
 
 /** Runs what follows it once the present turn's code is through; `queueMicrotask` makes a resource for each call. */
--- a/src/transport/eventLoopLag.ts
+++ b/src/transport/eventLoopLag.ts
@@ -1,3 +1,4 @@
+/** How late this process's timers fire: the measure of overload that every controller reports. */
 import type { Clock, Timer } from "./clock.js";
 
 /** Each sample wakes the process: a tenth of all its wake-ups, when this was 100 ms. */
