--- a/src/controller/peerDispatch.ts
+++ b/src/controller/peerDispatch.ts
@@ -73,7 +73,7 @@
         heartbeatServer.tell({ kind: "isolated", from: message.from, term: message.term });
         break;
       case "deliveries":
-        commandRouter.deliverFor(message.from, message.term, message.deliveries);
+        commandRouter.deliverForLeader(message.from, message.term, message.deliveries);
         break;
       case "delivery results":
         for (const result of message.results)
--- a/src/coordination/commands/commandBatch.ts
+++ b/src/coordination/commands/commandBatch.ts
@@ -1,43 +1,48 @@
-/** Composes the commands that a machine's worker is due, under which fencing token. */
+/** Composes the batch of commands that is due to a machine's worker, and chooses the fencing token of the batch. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { Command, TaskStatus } from "../../protocol/model.js";
 
-/** The commands of one delivery, and the fencing token that all of them carry. */
+/** The commands of one delivery, and the fencing token under which all of them are sent. */
 export interface CommandBatch {
-  token: number;
+  fencingToken: number;
   commands: Command[];
 }
 
-/** A start command is sent again after this, unless a heartbeat has shown its effect. */
-const REPEAT_START_MS = 1200;
-const REPEAT_STOP_MS = 600;
+/** Intervals after which a start or stop command is due again, unless a heartbeat has shown its effect. */
+const START_RETRY_INTERVAL_MS = 1200;
+const STOP_RETRY_INTERVAL_MS = 600;
 
 /**
- * What has to be sent to a machine now. Called right before sending: it marks on the machine and its attempts what is sent
- * (`sentToken`, `sentEpoch`, `sentMs`, `lastStartToken`, `stop.isSent`), for the proofs that a task is gone rely on knowing
- * every start command that may be under way.
+ * Composes the commands to send to a machine now. The caller must send the batch, because this function records on the
+ * machine and its attempts what is sent (`sentToken`, `sentEpoch`, `sentMs`, `lastStartToken`, `stop.isSent`). The proofs
+ * that a task is gone depend on knowing every start command that may be in flight.
  *
- * After a `reap` the worker has forgotten the attempt, and a copy of its start command still under way would run it again
- * (rule `ran_twice`). So a batch that reaps carries a token above that of every start command sent before: whatever is
- * still under way is refused from then on. `raise` asks for such a token in any case; `starts`: start commands may be sent.
+ * After a `reap` the worker has forgotten the attempt, and a copy of its start command still in flight would run it again
+ * (rule `ran_twice`). A batch with a reap therefore carries a token above that of every start command sent before, so that
+ * the worker rejects every start command still in flight. `raiseToken` requests such a token for any batch, and
+ * `includeStarts` allows start commands in the batch.
  */
 export function composeCommandBatch(
   machine: Machine,
   jobs: ReadonlyMap<string, Job>,
   nowMs: number,
-  options: { starts: boolean; raise: boolean },
+  options: { includeStarts: boolean; raiseToken: boolean },
 ): CommandBatch {
   const commands: Command[] = [];
-  const hasReaps = addCommandsForStrayTasks(commands, machine, jobs);
+  const hasReaps = addCommandsForOrphanedTasks(commands, machine, jobs);
   addDueStops(commands, machine, nowMs);
-  // Before the starts: they carry the new token already.
-  if (options.raise || (hasReaps && machine.lastStartToken >= machine.fencingToken)) machine.raiseToken();
-  if (options.starts) addDueStarts(commands, machine, nowMs);
-  return { token: machine.fencingToken, commands };
+  // The token is raised before the start commands are added, because they carry the new token.
+  if (options.raiseToken || (hasReaps && machine.lastStartToken >= machine.fencingToken))
+    machine.raiseToken();
+  if (options.includeStarts) addDueStarts(commands, machine, nowMs);
+  return { fencingToken: machine.fencingToken, commands };
 }
 
-/** Stops or reaps the listed tasks that are no attempt of the machine's; true when any is reaped. */
-function addCommandsForStrayTasks(
+/**
+ * Adds a stop or reap command for each listed task that is not a current attempt on the machine. Returns true if any
+ * command is a reap.
+ */
+function addCommandsForOrphanedTasks(
   commands: Command[],
   machine: Machine,
   jobs: ReadonlyMap<string, Job>,
@@ -49,7 +54,7 @@
     const current = job?.attemptOf(task);
     if (current !== undefined && current.number === attempt && current.machine === machine) continue;
     if (status.phase !== "exited") {
-      // Its job is finished or cancelled, or another attempt has replaced it.
+      // The task's job is finished or cancelled, or another attempt has replaced this one.
       commands.push({ op: "stop", jobId, task, attempt, graceS: 0 });
     } else if (mayReap(status, job)) {
       commands.push({ op: "reap", jobId, task, attempt });
@@ -59,18 +64,21 @@
   return hasReaps;
 }
 
-/** A result is reaped only once it is durable: until then the worker's list is the only copy. */
+/** True if the worker may forget the exited task. Until a result is durable, the worker's list holds its only copy. */
 function mayReap(status: TaskStatus, job: Job | undefined): boolean {
   if (status.cause !== "done" || !job || job.isCancelled) return true;
   return job.isDurablyDone(status.task);
 }
 
-/** Stops the attempts that have to end, and marks their stops as sent. One whose start was never sent needs none. */
+/**
+ * Adds a stop command for each attempt that is due one, and marks the stop request as sent. An attempt whose start was
+ * never sent needs no stop command.
+ */
 function addDueStops(commands: Command[], machine: Machine, nowMs: number): void {
   for (const attempt of machine.attempts) {
     const { stop } = attempt;
     if (!stop || (attempt.sentToken < 0 && !attempt.isInherited)) continue;
-    if (stop.isSent && nowMs - stop.lastSentMs < REPEAT_STOP_MS) continue;
+    if (stop.isSent && nowMs - stop.lastSentMs < STOP_RETRY_INTERVAL_MS) continue;
     stop.isSent = true;
     stop.lastSentMs = nowMs;
     commands.push({
@@ -83,7 +91,7 @@
   }
 }
 
-/** Starts the attempts that are due, and marks their starts as sent under the machine's token and epoch. */
+/** Adds a start command for each attempt that is due one, and records the token and epoch under which it is sent. */
 function addDueStarts(commands: Command[], machine: Machine, nowMs: number): void {
   for (const attempt of machine.attempts) {
     if (!isStartDue(attempt, machine, nowMs)) continue;
@@ -96,8 +104,8 @@
 }
 
 function isStartDue(attempt: Attempt, machine: Machine, nowMs: number): boolean {
-  // Intent before command: only what is durable is sent.
+  // The record of an attempt must be durable before its start command is sent.
   if (!attempt.isDurable || attempt.stop || attempt.phase !== null || attempt.isInherited) return false;
   if (attempt.sentToken < 0) return true;
-  return attempt.sentEpoch === machine.epoch && nowMs - attempt.sentMs >= REPEAT_START_MS;
+  return attempt.sentEpoch === machine.epoch && nowMs - attempt.sentMs >= START_RETRY_INTERVAL_MS;
 }
--- a/src/coordination/commands/commandRouter.ts
+++ b/src/coordination/commands/commandRouter.ts
@@ -1,22 +1,25 @@
-/** Chooses who carries commands to a machine's worker, and returns what became of them to the leader. */
+/** Chooses the controller that sends commands to a machine's worker, and returns the results to the leader. */
 import type { CommandDelivery, DeliveryResult } from "../../protocol/model.js";
 import type { PeerMessage } from "../../protocol/peers/messages.js";
 import type { Clock } from "../../transport/clock.js";
 import type { CommandSender } from "./commandSender.js";
 import { PeerBatches } from "./peerBatches.js";
 
-/** Deliveries that come up together share a frame, and so do their results, for which nobody waits. */
-const BATCH_DELIVERIES_MS = 5;
-const BATCH_RESULTS_MS = 25;
-/** Results in one frame: each holds a heartbeat in full. */
+/** Delays that collect deliveries, or their results, into shared frames. Results are not urgent and wait longer. */
+const DELIVERY_BATCH_DELAY_MS = 5;
+const RESULT_BATCH_DELAY_MS = 25;
+/** Each result contains a full heartbeat, so a frame holds few of them. */
 const MAX_RESULTS_PER_FRAME = 40;
-/** Commands in one frame: the stops of a huge job must not make it too long. A delivery itself counts as one more. */
+/**
+ * Limits the length of a frame, for example when a huge job is stopped. Each delivery counts as one command in addition to
+ * those that it contains.
+ */
 const MAX_COMMANDS_PER_FRAME = 1500;
 
 /**
- * Has deliveries carried by the controller that serves the machine, so that the connections to workers, and what they
- * cost, are spread over all controllers. What protects the worker is in the delivery itself (fencing token and epoch),
- * whoever carries it.
+ * Routes each delivery through the controller that serves the machine, so that the connections to workers and their cost
+ * are spread over all controllers. The fencing token and epoch in the delivery protect the worker, whichever controller
+ * sends it.
  */
 export class CommandRouter {
   private readonly deliveries: PeerBatches<CommandDelivery>;
@@ -26,44 +29,44 @@
     private readonly node: string,
     clock: Clock,
     private readonly commandSender: CommandSender,
-    /** False: no link to that controller. */
+    /** Sends a message to another controller; returns false if there is no link to it. */
     private readonly send: (peer: string, message: PeerMessage) => boolean,
-    /** A delivery that was requested here is finished. */
+    /** Called with the result of each delivery that this controller requested. */
     private readonly onResult: (term: number, result: DeliveryResult) => void,
   ) {
     this.deliveries = new PeerBatches({
       clock,
-      delayMs: BATCH_DELIVERIES_MS,
+      delayMs: DELIVERY_BATCH_DELAY_MS,
       maxItems: Infinity,
       send: (peer, term, deliveries) => this.sendDeliveries(peer, term, deliveries),
     });
     this.results = new PeerBatches({
       clock,
-      delayMs: BATCH_RESULTS_MS,
+      delayMs: RESULT_BATCH_DELAY_MS,
       maxItems: MAX_RESULTS_PER_FRAME,
-      // A lost result is a delivery without a response: the leader gives it up after a while.
+      // The leader times out a delivery whose result is lost, so a failure to send the results is ignored.
       send: (peer, term, results) => this.send(peer, { kind: "delivery results", from: node, term, results }),
     });
   }
 
-  /** Has commands carried by the controller `via`, or from here when it is null. */
+  /** Sends a delivery through the controller `via`, or directly to the worker if `via` is null or this controller. */
   deliver(term: number, via: string | null, delivery: CommandDelivery): void {
     if (via === null || via === this.node) this.deliverDirectly(term, delivery);
     else this.deliveries.add(via, term, delivery);
   }
 
-  /** Carries commands for the leader `from`, and returns the results to it. */
-  deliverFor(from: string, term: number, deliveries: CommandDelivery[]): void {
+  /** Sends deliveries to workers on behalf of another controller, the leader, and returns the results to it. */
+  deliverForLeader(leader: string, term: number, deliveries: CommandDelivery[]): void {
     for (const delivery of deliveries) {
       this.commandSender.tell({
         kind: "deliver",
         delivery,
-        onResult: (result) => this.results.add(from, term, result),
+        onResult: (result) => this.results.add(leader, term, result),
       });
     }
   }
 
-  /** Without a link to the controller, the deliveries go from here. */
+  /** Sends a batch of deliveries to another controller, or directly to the workers if there is no link to it. */
   private sendDeliveries(peer: string, term: number, batch: CommandDelivery[]): void {
     for (const deliveries of splitBySize(batch)) {
       if (this.send(peer, { kind: "deliveries", from: this.node, term, deliveries })) continue;
@@ -80,7 +83,7 @@
   }
 }
 
-/** In their order, in parts that each fit into a frame. */
+/** Splits the deliveries, in order, into parts that each fit into one frame. */
 function splitBySize(deliveries: CommandDelivery[]): CommandDelivery[][] {
   const parts: CommandDelivery[][] = [];
   let size = 0;
--- a/src/coordination/commands/commandSender.ts
+++ b/src/coordination/commands/commandSender.ts
@@ -1,4 +1,4 @@
-/** Sends deliveries of commands to workers over HTTP. */
+/** Sends command deliveries to workers over HTTP. */
 import type { CommandDelivery, DeliveryResult } from "../../protocol/model.js";
 import { decodeHeartbeat, DIRECT_COMMANDS_PATH, encodeDirectCommands } from "../../protocol/workers.js";
 import { Actor } from "../../transport/actor.js";
@@ -8,26 +8,26 @@
 type OnResult = (result: DeliveryResult) => void;
 
 type Message =
-  /** Send the delivery; `onResult` is called exactly once. */
+  /** Requests that the delivery is sent. `onResult` is called exactly once. */
   | { kind: "deliver"; delivery: CommandDelivery; onResult: OnResult }
-  /** The HTTP request of a delivery has ended. */
+  /** Reports the result of a delivery whose HTTP request has completed or failed. */
   | { kind: "finished"; result: DeliveryResult; onResult: OnResult };
 
-/** Owns the requests to workers that are under way: at most one to each machine. */
+/** Owns the requests in flight to workers, and guarantees at most one to each machine. */
 export class CommandSender extends Actor<Message> {
-  /** Machines with a request under way. */
-  private readonly busy = new Set<string>();
+  /** Names of the machines with a request in flight. */
+  private readonly inFlight = new Set<string>();
 
   constructor(
     private readonly http: HttpCaller,
-    /** A request without a response is given up after this. */
+    /** Time after which a request without a response fails, in milliseconds. */
     private readonly timeoutMs: number,
   ) {
     super("command sender");
   }
 
   protected override failed(message: Message, error: unknown): void {
-    log.error(`command sender: ${message.kind}: ${String(error)}`);
+    log.error(`command sender: handling of "${message.kind}" failed: ${String(error)}`);
   }
 
   protected override handle(message: Message): void {
@@ -36,7 +36,7 @@
         this.deliver(message.delivery, message.onResult);
         break;
       case "finished":
-        this.busy.delete(message.result.machine);
+        this.inFlight.delete(message.result.machine);
         message.onResult(message.result);
         break;
     }
@@ -44,12 +44,12 @@
 
   private deliver(delivery: CommandDelivery, onResult: OnResult): void {
     const { machine, fencingToken } = delivery;
-    if (this.busy.has(machine)) {
-      // The leader keeps to one delivery for each machine; a second one, of another leader perhaps, is not sent.
+    if (this.inFlight.has(machine)) {
+      // A leader sends one delivery at a time to each machine. A second one, perhaps from another leader, is not sent.
       onResult(withoutResponse(delivery, true));
       return;
     }
-    this.busy.add(machine);
+    this.inFlight.add(machine);
     const body = encodeDirectCommands(fencingToken, delivery.epoch, delivery.commands);
     this.http.call(delivery.address, "POST", DIRECT_COMMANDS_PATH, body, this.timeoutMs).then(
       (response) => {
--- a/src/coordination/commands/peerBatches.ts
+++ b/src/coordination/commands/peerBatches.ts
@@ -1,12 +1,12 @@
-/** Collects what comes up for the same controller within a moment, so that it shares one frame. */
+/** Collects items for the same controller over a short delay, so that they share one frame. */
 import type { Clock } from "../../transport/clock.js";
 
-/** How batches are made up, and who sends them. */
+/** The limits of a batch and the function that sends it. */
 export interface PeerBatchesOptions<Item> {
   clock: Clock;
-  /** A batch is sent this long after its first item. */
+  /** Delay from a batch's first item until the batch is sent, in milliseconds. */
   delayMs: number;
-  /** A batch takes no more items than these; the next item begins another. */
+  /** Maximum number of items in a batch; the next item opens a new batch. */
   maxItems: number;
   send: (peer: string, term: number, items: Item[]) => void;
 }
@@ -16,23 +16,23 @@
   readonly items: Item[];
 }
 
-/** Owns the open batch of each controller; a batch holds items of one term only. */
+/** Owns the open batch of each controller. All items of a batch belong to the same term. */
 export class PeerBatches<Item> {
-  private readonly open = new Map<string, Batch<Item>>();
+  private readonly openBatches = new Map<string, Batch<Item>>();
 
   constructor(private readonly options: PeerBatchesOptions<Item>) {}
 
-  /** Has the item sent to that controller with its batch. */
+  /** Adds the item to the batch that is sent to the controller next. */
   add(peer: string, term: number, item: Item): void {
-    const waiting = this.open.get(peer);
-    if (waiting && waiting.term === term && waiting.items.length < this.options.maxItems) {
-      waiting.items.push(item);
+    const openBatch = this.openBatches.get(peer);
+    if (openBatch && openBatch.term === term && openBatch.items.length < this.options.maxItems) {
+      openBatch.items.push(item);
       return;
     }
     const batch: Batch<Item> = { term, items: [item] };
-    this.open.set(peer, batch);
+    this.openBatches.set(peer, batch);
     this.options.clock.after(this.options.delayMs, () => {
-      if (this.open.get(peer) === batch) this.open.delete(peer);
+      if (this.openBatches.get(peer) === batch) this.openBatches.delete(peer);
       this.options.send(peer, term, batch.items);
     });
   }
--- a/src/coordination/leader/buildTermParts.ts
+++ b/src/coordination/leader/buildTermParts.ts
@@ -10,7 +10,7 @@
 import { GrantIssuer } from "../heartbeats/grantIssuer.js";
 import { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
 import { Cordon } from "../machines/cordon.js";
-import { DeliveryResults } from "../machines/deliveryResults.js";
+import { DeliveryResultHandler } from "../machines/deliveryResultHandler.js";
 import { HeartbeatProcessor } from "../machines/heartbeatProcessor.js";
 import { MachineLeases } from "../machines/machineLeases.js";
 import { MachineSupervisor } from "../machines/machineSupervisor.js";
@@ -93,7 +93,12 @@
   const cordon = new Cordon({ ...shared, attempts });
   const reconciliation = new Reconciliation({ ...shared, attempts, commands, cordon });
   const heartbeats = new HeartbeatProcessor({ ...shared, commands, cordon, reconciliation });
-  const deliveryResults = new DeliveryResults({ ...shared, attempts, deliveries: commands, heartbeats });
+  const deliveryResults = new DeliveryResultHandler({
+    ...shared,
+    attempts,
+    deliveries: commands,
+    heartbeats,
+  });
   const supervisor = new MachineSupervisor({
     ...shared,
     attempts,
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -56,7 +56,7 @@
         this.receiveUpdate(message.update);
         break;
       case "delivery finished":
-        deliveryResults.receive(message.result);
+        deliveryResults.handleResult(message.result);
         break;
       case "loaded":
         loader.loaded(message);
--- a/src/coordination/leader/termParts.ts
+++ b/src/coordination/leader/termParts.ts
@@ -7,7 +7,7 @@
 import type { ConsolidationRounds } from "../consolidation/consolidationRounds.js";
 import type { GrantIssuer } from "../heartbeats/grantIssuer.js";
 import type { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
-import type { DeliveryResults } from "../machines/deliveryResults.js";
+import type { DeliveryResultHandler } from "../machines/deliveryResultHandler.js";
 import type { HeartbeatProcessor } from "../machines/heartbeatProcessor.js";
 import type { MachineSupervisor } from "../machines/machineSupervisor.js";
 import type { Reconciliation } from "../machines/reconciliation.js";
@@ -66,7 +66,7 @@
 export interface MachineParts {
   reconciliation: Reconciliation;
   heartbeats: HeartbeatProcessor;
-  deliveryResults: DeliveryResults;
+  deliveryResults: DeliveryResultHandler;
   supervisor: MachineSupervisor;
 }
 
--- a/src/coordination/machines/cordon.ts
+++ b/src/coordination/machines/cordon.ts
@@ -1,4 +1,4 @@
-/** Cordons: machines that get no new work, since they fail what they start or will be interrupted. */
+/** Cordons machines that must get no new work because tasks fail on them or the cloud will interrupt them. */
 import type { Attempt, Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
@@ -7,12 +7,15 @@
 import type { Attempts } from "../term/attempts.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 
-/** A faulty machine is tried again after this; without work it is scaled in before. */
+/** Duration of the cordon on a faulty machine; a machine without work is scaled in before the cordon expires. */
 const FAULTY_CORDON_MS = 90_000;
-/** A task is left alone if it should end within this part of the time until an interruption: estimates are often too low. */
-const SAFE_PART_OF_NOTICE = 0.6;
+/**
+ * A task keeps running if its estimated remaining time is below this fraction of the time until the interruption. The
+ * fraction leaves a margin because run times are often underestimated.
+ */
+const SAFE_NOTICE_FRACTION = 0.6;
 
-/** What cordoning uses of the term. */
+/** The parts of the term that cordoning depends on. */
 export interface CordonContext {
   clock: Clock;
   jobs: JobRegistry;
@@ -20,17 +23,17 @@
   estimates: Estimates;
 }
 
-/** Decides which machines get no new work, and evicts from them what has to leave. */
+/** Decides which machines are cordoned, and evicts the attempts that must not stay on them. */
 export class Cordon {
   constructor(private readonly context: CordonContext) {}
 
   /**
-   * Cordons a machine on which jobs fail that run well elsewhere, or on which several jobs fail and none succeeds. What
-   * runs there goes on, for such a machine fails only what it starts; what has not started yet leaves.
+   * Cordons a machine on which jobs fail that run well elsewhere, or on which several jobs fail and none succeeds. Such a
+   * machine only fails tasks that it starts, so running tasks continue and attempts that have not started are evicted.
    */
   cordonIfFaulty(machine: Machine): void {
     if (machine.isCordoned || !machineLooksFaulty(machine, this.context.jobs.byId)) return;
-    cordon(machine, "fails what it starts");
+    cordon(machine, "repeated task failures");
     machine.cordonUntilMs = this.context.clock.nowMs() + FAULTY_CORDON_MS;
     machine.consecutiveFailures.clear();
     for (const attempt of [...machine.attempts])
@@ -39,28 +42,32 @@
   }
 
   /**
-   * Cordons a machine that the cloud has announced to interrupt, and stops what would not end in time, while there is still
-   * time for checkpoints.
+   * Cordons a machine with a spot interruption notice. Stops the attempts that would not finish before the interruption
+   * while there is still time to save checkpoints.
    */
   drainBeforeInterruption(machine: Machine): void {
-    cordon(machine, "the cloud takes it");
+    cordon(machine, "spot interruption notice");
     const nowMs = this.context.clock.nowMs();
     const noticeS = ((machine.interruptionAtMs ?? nowMs) - nowMs) / 1000;
     for (const attempt of [...machine.attempts])
-      if (!this.endsInTime(attempt, noticeS, nowMs)) this.context.attempts.stopGracefully(attempt);
+      if (!this.finishesBeforeInterruption(attempt, noticeS, nowMs))
+        this.context.attempts.stopGracefully(attempt);
   }
 
-  /** Should a running array task without checkpoints be over well before the interruption? All other tasks are stopped. */
-  private endsInTime(attempt: Attempt, noticeS: number, nowMs: number): boolean {
+  /**
+   * True if a running array task without checkpoints is expected to finish well before the interruption; false for every
+   * other task.
+   */
+  private finishesBeforeInterruption(attempt: Attempt, noticeS: number, nowMs: number): boolean {
     const { spec } = attempt.job;
     if (spec.kind !== "array" || spec.checkpointS !== 0 || attempt.phase !== "running") return false;
-    const ranS = attempt.runningMs === null ? 0 : (nowMs - attempt.runningMs) / 1000;
-    const leftS = this.context.estimates.runTimes.expectedS(spec.className, spec.estimateS) - ranS;
-    return leftS < noticeS * SAFE_PART_OF_NOTICE;
+    const runTimeS = attempt.runningMs === null ? 0 : (nowMs - attempt.runningMs) / 1000;
+    const remainingS = this.context.estimates.runTimes.expectedS(spec.className, spec.estimateS) - runTimeS;
+    return remainingS < noticeS * SAFE_NOTICE_FRACTION;
   }
 }
 
-/** Uncordons a machine whose cordon has expired. */
+/** Removes the machine's cordon once `cordonUntilMs` has passed. */
 export function liftExpiredCordon(machine: Machine, nowMs: number): void {
   if (machine.isCordoned && nowMs > machine.cordonUntilMs) machine.isCordoned = false;
 }
@@ -69,5 +76,5 @@
   if (machine.isCordoned) return;
   machine.isCordoned = true;
   machine.cordonReason = reason;
-  log.info(`${machine.name}: cordoned, no new work: ${reason}`);
+  log.info(`${machine.name}: cordoned, gets no new work: ${reason}`);
 }
--- a/src/coordination/machines/deliveryResults.ts
+++ b/src/coordination/machines/deliveryResultHandler.ts
@@ -1,4 +1,4 @@
-/** What the leader concludes from a delivery of commands: with the worker's response, or without one. */
+/** Handles the results of command deliveries, with or without a response from the worker. */
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { DeliveryResult, Heartbeat } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
@@ -8,13 +8,13 @@
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { TermLease } from "../term/termLease.js";
 import type { HeartbeatProcessor } from "./heartbeatProcessor.js";
-import { giveUpUnsentStarts } from "./unsentStarts.js";
+import { abandonUnsentStarts } from "./unsentStarts.js";
 
-/** With this status a worker refuses a whole delivery: its epoch or fencing token does not match. */
-const STATUS_REFUSED = 409;
+/** HTTP status with which a worker rejects a whole delivery because its epoch or fencing token does not match. */
+const REJECTED_STATUS = 409;
 
-/** What the handling of deliveries' results uses of the term. */
-export interface DeliveryResultsContext {
+/** The parts of the term that the handling of delivery results depends on. */
+export interface DeliveryResultHandlerContext {
   clock: Clock;
   lease: TermLease;
   machines: MachineRegistry;
@@ -23,30 +23,30 @@
   heartbeats: HeartbeatProcessor;
 }
 
-/** Applies what became of the deliveries of commands to the machines and their attempts. */
-export class DeliveryResults {
-  constructor(private readonly context: DeliveryResultsContext) {}
+/** Applies the results of command deliveries to the machines and their attempts. */
+export class DeliveryResultHandler {
+  constructor(private readonly context: DeliveryResultHandlerContext) {}
 
-  /** A delivery has its result; results of earlier terms are ignored. */
-  receive(result: DeliveryResult): void {
+  /** Marks the delivery as finished and applies its result; a result of an earlier term changes nothing else. */
+  handleResult(result: DeliveryResult): void {
     const { lease, machines, deliveries, heartbeats } = this.context;
     const machine = machines.get(result.machine);
     if (!machine) return;
     deliveries.markFinished(machine.name);
-    // The result of a delivery in an earlier term of ours may come late.
+    // The result of a delivery that this controller sent in an earlier term of its own may arrive late.
     if (result.fencingToken < firstFencingToken(lease.term)) return;
-    const raiseToken = deliveries.takeRaiseNext(machine.name);
+    const raiseToken = deliveries.takePendingTokenRaise(machine.name);
     if (result.heartbeat && lease.isLoaded) {
-      if (!heartbeats.isOfLaterTerm(result.heartbeat))
-        this.receiveResponse(machine, result, result.heartbeat, raiseToken);
+      if (!heartbeats.detectLaterTerm(result.heartbeat))
+        this.handleResponse(machine, result, result.heartbeat, raiseToken);
     } else if (result.status === null) this.handleNoResponse(machine, result.neverSent);
   }
 
-  /** Deliveries that have had no result for too long count as ones without a response. */
-  expire(nowMs: number): void {
+  /** Handles each delivery that has timed out as a delivery without a response. */
+  expireTimedOut(nowMs: number): void {
     const { lease, deliveries } = this.context;
     for (const machine of deliveries.timedOut(nowMs))
-      this.receive({
+      this.handleResult({
         machine,
         fencingToken: firstFencingToken(lease.term),
         status: null,
@@ -55,8 +55,11 @@
       });
   }
 
-  /** A worker's response holds a heartbeat; `raiseToken`: commands that had to wait need a higher fencing token. */
-  private receiveResponse(
+  /**
+   * Applies the heartbeat in a worker's response. `raiseToken` is true if the commands that waited for this delivery need a
+   * higher fencing token.
+   */
+  private handleResponse(
     machine: Machine,
     { status, fencingToken }: DeliveryResult,
     heartbeat: Heartbeat,
@@ -66,8 +69,8 @@
     const nowMs = this.context.clock.nowMs();
     const isFresh = heartbeats.apply(machine, heartbeat, nowMs);
     machine.lastContactMs = Math.max(machine.lastContactMs, nowMs);
-    if (status === STATUS_REFUSED && isFresh) {
-      // Refused whole: its start commands had no effect, so they may be sent again at once.
+    if (status === REJECTED_STATUS && isFresh) {
+      // The worker rejected the whole delivery, so its start commands had no effect and may be sent again at once.
       for (const attempt of machine.attempts)
         if (attempt.phase === null && attempt.sentToken === fencingToken) attempt.sentMs = -Infinity;
     }
@@ -75,11 +78,14 @@
     else deliveries.sendCommands(machine, raiseToken);
   }
 
-  /** The machine may not be reachable. The next delivery goes another way, under a token that proves that it is. */
+  /**
+   * Treats the machine as possibly unreachable. The leader sends the next delivery directly and, unless the last one was
+   * certainly never sent, under a new fencing token that proves reachability once the worker has seen it.
+   */
   private handleNoResponse(machine: Machine, neverSent: boolean): void {
-    this.context.deliveries.sendNextDirectly(machine.name);
+    this.context.deliveries.requestDirectDelivery(machine.name);
     if (!neverSent) machine.requireNewToken(this.context.clock.nowMs());
-    // A start that was planned there in the meantime was never sent: no proof is needed to give it up.
-    if (!machine.isReachable) giveUpUnsentStarts(this.context.attempts, machine, Infinity);
+    // A start planned on the machine in the meantime was never sent, so it can be abandoned without a proof.
+    if (!machine.isReachable) abandonUnsentStarts(this.context.attempts, machine, Infinity);
   }
 }
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -1,9 +1,9 @@
-/** What a worker's heartbeat changes on the leader's picture of its machine. */
+/** Applies workers' heartbeats to the leader's state of their machines. */
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { Heartbeat, ReceivedHeartbeat, UnchangedHeartbeat } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
 import { log } from "../../transport/log.js";
-import { PROBE_MS } from "../commands/commandDeliveries.js";
+import { PROBE_INTERVAL_MS } from "../commands/commandDeliveries.js";
 import { firstFencingToken } from "../term/fencingTokens.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { CommandQueue } from "../term/attempts.js";
@@ -14,13 +14,16 @@
 import type { Cordon } from "./cordon.js";
 import type { Reconciliation } from "./reconciliation.js";
 
-/** A machine's first heartbeat has shown our token after so many of its intervals; only then it is probed. */
-const FIRST_PROBE_AFTER_HEARTBEATS = 1.5;
-/** Epoch and tick of the first heartbeat that a machine's worker ever sends. */
+/**
+ * Heartbeat intervals from a machine's first heartbeat until its first probe. The response to the first heartbeat carries
+ * the leader's fencing token, and the next heartbeat shows it, so an earlier probe is not needed.
+ */
+const FIRST_PROBE_DELAY_INTERVALS = 1.5;
+/** Epoch and tick of the first heartbeat that a worker sends after its machine was created. */
 const FIRST_EPOCH = 1;
 const FIRST_TICK = 1;
 
-/** What the processing of heartbeats uses of the term. */
+/** The parts of the term that heartbeat processing depends on. */
 export interface HeartbeatProcessorContext {
   clock: Clock;
   lease: TermLease;
@@ -30,56 +33,59 @@
   estimates: Estimates;
   cordon: Cordon;
   reconciliation: Reconciliation;
-  /** Workers' time between heartbeats, in seconds. */
+  /** Interval between a worker's heartbeats, in seconds. */
   heartbeatS: number;
-  /** Seconds of silence after which nothing new is placed on a machine. */
+  /** Silence after which no new work is placed on a machine, in seconds. */
   suspectS: number;
-  /** A worker has seen the fencing token of a later term. */
+  /** Called with this leader's term when a worker has seen the fencing token of a later term. */
   onDeposed: (term: number) => void;
 }
 
-/** Owns the state transitions that a machine's heartbeats cause, and begins the reconciliation that follows. */
+/** Owns the state transitions that a machine's heartbeats cause, and triggers the reconciliation that follows them. */
 export class HeartbeatProcessor {
   constructor(private readonly context: HeartbeatProcessorContext) {}
 
-  /** A heartbeat in full that the controller `server` has acknowledged. */
+  /** Processes a full heartbeat that the controller `server` has acknowledged. */
   receive({ heartbeat, ageMs }: ReceivedHeartbeat, server: string, nowMs: number): void {
-    if (this.isOfLaterTerm(heartbeat)) return;
+    if (this.detectLaterTerm(heartbeat)) return;
     const { lease, machines } = this.context;
     if (machines.isRemoved(heartbeat.machine)) return;
     const machine = machines.getOrCreate(heartbeat.machine, heartbeat.zone);
-    // The response to it carried our token, and its next heartbeat shows that: no need to probe it at once.
+    // The response to the first heartbeat carried this leader's token, which the next heartbeat shows: the probe can wait.
     if (machine.heartbeatTick === 0) {
-      const firstProbeMs = FIRST_PROBE_AFTER_HEARTBEATS * 1000 * this.context.heartbeatS;
-      machine.lastProbeMs = nowMs + firstProbeMs - PROBE_MS;
+      const firstProbeMs = FIRST_PROBE_DELAY_INTERVALS * 1000 * this.context.heartbeatS;
+      machine.lastProbeMs = nowMs + firstProbeMs - PROBE_INTERVAL_MS;
     }
-    const isVeryFirst =
+    const isFirstEverHeartbeat =
       machine.state === "booting" && heartbeat.epoch === FIRST_EPOCH && heartbeat.tick === FIRST_TICK;
     const isFresh = this.apply(machine, heartbeat, nowMs);
-    noteAcknowledged(machine, heartbeat, server, nowMs, nowMs - ageMs);
-    // The machine was created in this term, so no copy of an older heartbeat can be under way: it proves itself reachable.
-    if (isVeryFirst && machine.createdMs >= lease.startedMs) machine.requiredToken = 0;
+    recordAcknowledgement(machine, heartbeat, server, nowMs, nowMs - ageMs);
+    // The machine was created in this term, so no older heartbeat can be in flight, and this one proves it reachable.
+    if (isFirstEverHeartbeat && machine.createdMs >= lease.startedMs) machine.requiredToken = 0;
     if (lease.isLoaded && isFresh) this.reconcileAndSend(machine);
   }
 
-  /** A heartbeat that says nothing new; false: its epoch is not known here, so that it has to be sent in full. */
+  /**
+   * Processes a heartbeat whose content is unchanged. Returns false if the leader does not know its epoch, so that the
+   * heartbeat has to be sent in full.
+   */
   receiveUnchanged(heartbeat: UnchangedHeartbeat, server: string, nowMs: number): boolean {
     const { machines } = this.context;
     const machine = machines.get(heartbeat.machine);
     if (!machine || machine.epoch !== heartbeat.epoch) return machines.isRemoved(heartbeat.machine);
-    noteAcknowledged(machine, heartbeat, server, nowMs, nowMs);
+    recordAcknowledgement(machine, heartbeat, server, nowMs, nowMs);
     return true;
   }
 
-  /** Has the worker seen a later term's fencing token? Then this leader is deposed, which is announced here. */
-  isOfLaterTerm(heartbeat: Heartbeat): boolean {
+  /** Returns true, and calls `onDeposed`, if the worker has seen a later term's fencing token: another leader has taken over. */
+  detectLaterTerm(heartbeat: Heartbeat): boolean {
     const { term } = this.context.lease;
     if (heartbeat.fencingToken < firstFencingToken(term + 1)) return false;
     this.context.onDeposed(term);
     return true;
   }
 
-  /** Reconciles a machine after a fresh heartbeat, and sends what is due. */
+  /** Reconciles a machine after a fresh heartbeat, and sends the commands that are due. */
   reconcileAndSend(machine: Machine): void {
     const raiseToken = this.context.reconciliation.reconcile(machine);
     if (machine.hasNewInterruptionNotice) {
@@ -89,7 +95,10 @@
     this.context.commands.sendCommands(machine, raiseToken);
   }
 
-  /** Applies what a heartbeat, or a worker's response to commands, says of the machine itself; false: a newer one is known. */
+  /**
+   * Applies the machine state in a heartbeat or in a worker's response to commands. Returns false, without a change, unless
+   * it is newer than the last one applied.
+   */
   apply(machine: Machine, heartbeat: Heartbeat, nowMs: number): boolean {
     if (isLateCopy(machine, heartbeat)) return false;
     if (heartbeat.epoch > machine.epoch) beginEpoch(machine, heartbeat.epoch, nowMs);
@@ -102,11 +111,11 @@
     machine.listedTasks = heartbeat.tasks;
     const wasUnusable =
       machine.state === "booting" || nowMs - machine.lastContactMs > this.context.suspectS * 1000;
-    // Its idle time begins when it can be used (again): neither its boot nor its silence counts as idle.
+    // The idle time starts when the machine becomes usable; time spent booting or silent does not count as idle.
     if (machine.attempts.size === 0 && wasUnusable) machine.idleSinceMs = nowMs;
     if (machine.state === "booting") this.markUp(machine, heartbeat.type, nowMs);
     if (heartbeat.interruptionNoticeS !== null)
-      this.noteInterruption(machine, heartbeat.interruptionNoticeS, nowMs);
+      this.recordInterruptionNotice(machine, heartbeat.interruptionNoticeS, nowMs);
     return true;
   }
 
@@ -117,31 +126,32 @@
     this.context.cycles.requestCycle();
   }
 
-  private noteInterruption(machine: Machine, noticeS: number, nowMs: number): void {
+  private recordInterruptionNotice(machine: Machine, noticeS: number, nowMs: number): void {
     if (machine.interruptionAtMs === null) {
       machine.hasNewInterruptionNotice = true;
       this.context.estimates.recordSpotInterruption();
-      log.info(`${machine.name}: will be taken in ${noticeS.toFixed(1)} s`);
+      log.info(`${machine.name}: spot interruption in ${noticeS.toFixed(1)} s`);
     }
     machine.interruptionAtMs = nowMs + noticeS * 1000;
   }
 }
 
-/** The worker began a new epoch: its earlier tasks are gone. */
+/** Records that the worker has started a new epoch, in which the tasks of its earlier epochs are gone. */
 function beginEpoch(machine: Machine, epoch: number, nowMs: number): void {
   if (machine.epoch > 0) {
-    log.info(`${machine.name}: epoch ${epoch}, its tasks are gone`);
-    // Its heartbeats arrive, and its lease expired all the same: perhaps our responses don't reach it.
+    log.info(`${machine.name}: worker started epoch ${epoch}, tasks of earlier epochs are gone`);
+    // The worker's lease expired although its heartbeats arrive, so the responses may not be reaching the worker.
     machine.requireNewToken(nowMs);
   }
-  // An epoch's lease runs from its beginning, also when none of its heartbeats was acknowledged yet. Counted from an older
-  // acknowledgement, a task of the new epoch looked gone while it ran (rule `ran_twice`, docs/incidents/overload.md).
+  // The lease of an epoch runs from the start of the epoch, even before the first of its heartbeats is acknowledged. Lease
+  // expiry measured from an older acknowledgement would declare a running task of the new epoch gone (rule `ran_twice`,
+  // docs/incidents/overload.md).
   machine.lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, nowMs);
   machine.epoch = epoch;
 }
 
-/** A controller has acknowledged that heartbeat. An older one, or a copy, renews no lease. */
-function noteAcknowledged(
+/** Records that a controller has acknowledged the heartbeat. An older heartbeat or a copy does not renew the lease. */
+function recordAcknowledgement(
   machine: Machine,
   heartbeat: { epoch: number; tick: number },
   server: string,
@@ -153,11 +163,11 @@
   if (epoch === machine.heartbeatEpoch && tick <= machine.heartbeatTick) return;
   machine.heartbeatEpoch = epoch;
   machine.heartbeatTick = tick;
-  // It was acknowledged before now: taken for now, no lease is counted too short.
+  // The controller acknowledged the heartbeat earlier; using the current time never makes the lease look too short.
   machine.lastAcknowledgedMs = nowMs;
   machine.lastContactMs = Math.max(machine.lastContactMs, receivedMs);
   machine.lastHeartbeatMs = Math.max(machine.lastHeartbeatMs, receivedMs);
   machine.heartbeatServer = server;
-  // `machine.tick` stays: it belongs to the listed tasks that are known. Raised by an unchanged heartbeat, it made the one
-  // that had been lost on its way look old when it was sent again, and its jobs were never done.
+  // `machine.tick` is not updated because it belongs to the known task list. If an unchanged heartbeat raised it, a full
+  // heartbeat that was lost in transit would look stale when sent again, and its jobs would never be marked as done.
 }
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -1,22 +1,25 @@
-/** Lease expiry as a proof that a silent machine's tasks are gone (rule `ran_twice`). */
+/** Uses lease expiry to prove that the tasks of a silent machine are gone (rule `ran_twice`). */
 import type { Machine } from "../../bookkeeping/workload.js";
 import type { HeartbeatServerRegistry } from "../heartbeats/heartbeatServerRegistry.js";
 import { leaseExpiredEverywhereFromMs, leaseExpiredFromMs } from "../term/leaseProofs.js";
 import type { TermLease } from "../term/termLease.js";
 
-/** Proves that the lease of a silent machine's worker has expired (rule `ran_twice`); silence alone proves nothing. */
+/**
+ * Proves that the lease of a silent machine's worker has expired (rule `ran_twice`). Silence alone does not prove that its
+ * tasks are gone.
+ */
 export class MachineLeases {
   constructor(
     private readonly lease: TermLease,
     private readonly servers: HeartbeatServerRegistry,
-    /** The workers' lease, in seconds. */
+    /** Duration of a worker's lease, in seconds. */
     private readonly leaseS: number,
   ) {}
 
-  /** Has the worker's lease certainly expired, whichever controller may have acknowledged its heartbeats? */
+  /** True if the worker's lease has certainly expired, whichever controllers may have acknowledged its heartbeats. */
   hasExpired(machine: Machine, nowMs: number): boolean {
     const { earlierLeadersSilentFromMs } = this.lease;
-    // No leader of an earlier term can have renewed it after that.
+    // No leader of an earlier term can have renewed the lease after `earlierLeadersSilentFromMs`.
     const lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, earlierLeadersSilentFromMs);
     if (nowMs < leaseExpiredFromMs(lastAcknowledgedMs, this.leaseS)) return false;
     const facts = this.servers.acknowledgementFacts(machine.zone, earlierLeadersSilentFromMs);
--- a/src/coordination/machines/machineSupervisor.ts
+++ b/src/coordination/machines/machineSupervisor.ts
@@ -1,43 +1,43 @@
-/** Looks at every machine by the clock: what heartbeats can't bring about, since they are missing or bring nothing new. */
+/** Periodic supervision of machines, for state changes that no heartbeat triggers because it is missing or unchanged. */
 import type { Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
-import { CommandReminders, type CommandRemindersContext } from "./commandReminders.js";
+import { CommandRetrier, type CommandRetrierContext } from "./commandRetrier.js";
 import { liftExpiredCordon } from "./cordon.js";
-import type { DeliveryResults } from "./deliveryResults.js";
+import type { DeliveryResultHandler } from "./deliveryResultHandler.js";
 import type { MachineLeases } from "./machineLeases.js";
 import {
   hasFailedToBoot,
-  lostReason,
+  lostMachineReason,
   type ScaleInContext,
-  silentFor,
-  unusedReason,
+  formatSilence,
+  unusedMachineReason,
 } from "./scaleInReasons.js";
 import { SilenceCounts } from "./silenceCounts.js";
 
-/** What supervision uses of the term. */
-export interface MachineSupervisorContext extends ScaleInContext, CommandRemindersContext {
+/** The parts of the term that supervision depends on. */
+export interface MachineSupervisorContext extends ScaleInContext, CommandRetrierContext {
   machines: MachineRegistry;
-  deliveryResults: DeliveryResults;
+  deliveryResults: DeliveryResultHandler;
   leases: MachineLeases;
   estimates: Estimates;
-  /** Has the cloud delete the machine; the reason is logged. */
+  /** Requests the machine's deletion from the cloud; the reason is logged. */
   scaleIn: (machine: Machine, reason: string) => void;
 }
 
 /**
- * Watches over the machines by the clock: expires leases, scales in what never came up, is lost, faulty or idle, lifts
- * cordons, and has commands without effect repeated.
+ * Supervises the machines periodically: expires leases, scales in machines that never came up or are lost, faulty or idle,
+ * removes expired cordons, and has commands without a visible effect retried.
  */
 export class MachineSupervisor {
-  private readonly reminders: CommandReminders;
+  private readonly commandRetrier: CommandRetrier;
 
   constructor(private readonly context: MachineSupervisorContext) {
-    this.reminders = new CommandReminders(context);
+    this.commandRetrier = new CommandRetrier(context);
   }
 
-  /** Looks at all machines once; called at each tick of a leader that may write. */
+  /** Supervises every machine once; called at each tick of a leader that may write. */
   superviseAll(nowMs: number): void {
     const { machines, estimates, operator } = this.context;
     const silence = new SilenceCounts(machines.values(), operator.suspectS, nowMs);
@@ -48,15 +48,16 @@
       if (machine.state === "booting") this.superviseBooting(machine, nowMs);
       else this.superviseUp(machine, silence, nowMs);
     }
-    this.context.deliveryResults.expire(nowMs);
+    this.context.deliveryResults.expireTimedOut(nowMs);
   }
 
   private superviseBooting(machine: Machine, nowMs: number): void {
-    // Known only from a record, and silent since this term began: its lease proves the tasks gone, also those whose start
-    // is still under way, for that names an epoch that is over. The machine may yet come back.
+    // The machine is known only from a record and has been silent since this term began. Its expired lease proves its tasks
+    // gone, including those whose start is still in flight, because such a start names an epoch that has ended. The machine
+    // may still come back.
     if (machine.attempts.size > 0 && this.context.leases.hasExpired(machine, nowMs)) {
-      log.info(`${machine.name}: no heartbeat in this term, its lease has expired`);
-      this.loseAttempts(machine);
+      log.info(`${machine.name}: lease expired without a heartbeat in this term`);
+      this.markAttemptsLost(machine);
     }
     if (hasFailedToBoot(machine, this.context, nowMs)) this.context.scaleIn(machine, "never came up");
   }
@@ -64,20 +65,20 @@
   private superviseUp(machine: Machine, counts: SilenceCounts, nowMs: number): void {
     const isUnacknowledged = nowMs - machine.lastAcknowledgedMs > this.context.leaseS * 1000;
     if (machine.attempts.size > 0 && isUnacknowledged && this.context.leases.hasExpired(machine, nowMs)) {
-      log.info(`${machine.name}: ${silentFor(nowMs - machine.lastContactMs)}, its lease has expired`);
-      this.loseAttempts(machine);
+      log.info(`${machine.name}: lease expired, ${formatSilence(nowMs - machine.lastContactMs)}`);
+      this.markAttemptsLost(machine);
     }
-    const whyLost = lostReason(machine, counts, this.context, nowMs);
-    if (whyLost !== null) {
-      this.context.scaleIn(machine, whyLost);
+    const lostReason = lostMachineReason(machine, counts, this.context, nowMs);
+    if (lostReason !== null) {
+      this.context.scaleIn(machine, lostReason);
       return;
     }
-    this.reminders.remind(machine, nowMs);
-    const whyUnused = unusedReason(machine, this.context, nowMs);
-    if (whyUnused !== null) this.context.scaleIn(machine, whyUnused);
+    this.commandRetrier.retryDueCommands(machine, nowMs);
+    const unusedReason = unusedMachineReason(machine, this.context, nowMs);
+    if (unusedReason !== null) this.context.scaleIn(machine, unusedReason);
   }
 
-  private loseAttempts(machine: Machine): void {
+  private markAttemptsLost(machine: Machine): void {
     for (const attempt of [...machine.attempts]) this.context.attempts.markLost(attempt);
   }
 }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Reconciles the attempts that the leader has placed on a machine with the tasks that the machine lists. */
+/** Reconciles the attempts that the leader has placed on a machine with the tasks that its worker lists. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { TaskStatus } from "../../protocol/model.js";
 import type { Clock } from "../../transport/clock.js";
@@ -11,22 +11,25 @@
 import type { TermLease } from "../term/termLease.js";
 import type { Cordon } from "./cordon.js";
 
-/** A machine on which a task failed, had no room or was still in use is avoided by its job for so long. */
+/** Time for which a job avoids a machine on which one of its tasks failed, found no room, or was still in use. */
 const AVOID_AFTER_ERROR_MS = 60_000;
-const AVOID_WITHOUT_ROOM_MS = 2000;
+const AVOID_NO_ROOM_MS = 2000;
 const AVOID_IN_USE_MS = 3000;
-/** A job that the worker could not look up is tried again after this. */
-const RETRY_UNKNOWN_MS = 1000;
-/** Exponential backoff of a job that fails again and again: the first pause, the longest one, and what makes it grow. */
-const FIRST_RETRY_MS = 100;
-const MAX_RETRY_MS = 15_000;
+/** Delay before a job is retried after the worker could not look it up. */
+const UNKNOWN_JOB_RETRY_MS = 1000;
+/** Exponential backoff of a job that fails repeatedly: initial delay, maximum delay, and maximum number of doublings. */
+const INITIAL_RETRY_DELAY_MS = 100;
+const MAX_RETRY_DELAY_MS = 15_000;
 const MAX_RETRY_DOUBLINGS = 8;
-/** So many failures of a job count as bad luck and lengthen no pause. */
-const FREE_FAILURES = 2;
-/** A start that was sent longer ago than this, and whose task is not listed, needs a higher fencing token to settle it. */
-const LISTED_WITHIN_MS = 1000;
+/** Number of failures of a job that count as chance and do not lengthen its retry delay. */
+const FAILURES_BEFORE_BACKOFF = 2;
+/**
+ * Time after sending a start within which the worker should list its task. After this, a missing task needs a heartbeat
+ * under a higher fencing token to settle whether it is gone.
+ */
+const LISTING_TIMEOUT_MS = 1000;
 
-/** What reconciliation uses of the term. */
+/** The parts of the term that reconciliation depends on. */
 export interface ReconciliationContext {
   clock: Clock;
   lease: TermLease;
@@ -38,15 +41,15 @@
 }
 
 /**
- * Compares a machine's attempts with its newest heartbeat: attempts that are listed, that have exited, and that are proved
+ * Compares a machine's attempts with its newest heartbeat and updates those that are listed, have exited, or are proved
  * gone by their absence (rule `ran_twice`).
  */
 export class Reconciliation {
   constructor(private readonly context: ReconciliationContext) {}
 
   /**
-   * Applies the newest heartbeat to the machine's attempts; true when only a heartbeat under a higher fencing token can
-   * settle what became of one, so that the next commands have to raise it.
+   * Applies the newest heartbeat to the machine's attempts. Returns true if only a heartbeat under a higher fencing token
+   * can settle the state of an attempt, so that the next commands have to raise the token.
    */
   reconcile(machine: Machine): boolean {
     const listed = this.listedAttempts(machine);
@@ -57,11 +60,11 @@
       else if (status.phase === "exited") this.reconcileExited(attempt, status);
       else this.reconcilePresent(attempt, status.phase);
     }
-    this.applyStrayResults(machine);
+    this.applyOrphanedResults(machine);
     return raiseToken;
   }
 
-  /** The machine's attempts that its newest heartbeat lists. */
+  /** Maps those of the machine's attempts that its newest heartbeat lists to their status. */
   private listedAttempts(machine: Machine): Map<Attempt, TaskStatus> {
     const listed = new Map<Attempt, TaskStatus>();
     for (const status of machine.listedTasks) {
@@ -72,14 +75,16 @@
     return listed;
   }
 
-  /** The attempt is not listed; true when only a heartbeat under a higher fencing token can prove it gone. */
+  /**
+   * Handles an attempt that is not listed. Returns true if only a heartbeat under a higher fencing token can prove it gone.
+   */
   private reconcileAbsent(attempt: Attempt, machine: Machine): boolean {
     const { clock, lease, attempts, commands } = this.context;
     const heartbeat = { epoch: machine.epoch, fencingToken: machine.seenToken };
     if (absenceProvesTaskGone(attempt, heartbeat, firstFencingToken(lease.term))) {
       const wasNeverListed = attempt.phase === null && !attempt.stop;
       if (!attempt.isInherited && wasNeverListed && attempt.sentEpoch === machine.epoch) {
-        // The worker has certainly not received the start and refuses it from now on: it may be sent anew.
+        // The worker has certainly not received the start and will reject it from now on, so it may be sent again.
         attempt.sentToken = -1;
         commands.sendCommands(machine);
       } else attempts.markLost(attempt);
@@ -88,12 +93,15 @@
     const shouldBeListed =
       attempt.sentToken >= 0 &&
       (attempt.phase !== null || attempt.stop !== null) &&
-      clock.nowMs() - attempt.sentMs > LISTED_WITHIN_MS;
+      clock.nowMs() - attempt.sentMs > LISTING_TIMEOUT_MS;
     return (attempt.isInherited || shouldBeListed) && attempt.sentToken >= machine.fencingToken;
   }
 
-  /** A result counts whichever attempt brought it, also one that has been replaced. */
-  private applyStrayResults(machine: Machine): void {
+  /**
+   * Applies successful results of attempts that the leader no longer tracks. A task's result counts whichever attempt
+   * produced it, but only while the task has no current attempt.
+   */
+  private applyOrphanedResults(machine: Machine): void {
     for (const status of machine.listedTasks) {
       if (status.phase !== "exited" || status.cause !== "done") continue;
       const job = this.context.jobs.get(status.jobId);
@@ -102,75 +110,76 @@
     }
   }
 
-  /** The attempt is listed and has not exited. */
+  /** Handles an attempt that is listed and has not exited. */
   private reconcilePresent(attempt: Attempt, phase: Exclude<TaskStatus["phase"], "exited">): void {
     const { job, machine } = attempt;
     attempt.isInherited = false;
     if (attempt.sentToken < 0) {
-      // Started by an earlier leader, whose start command may be under way a second time: under a token of its term.
+      // An earlier leader started the attempt, and a second copy of its start command may be in flight. The copy carries a
+      // token of the earlier term.
       attempt.sentToken = firstFencingToken(this.context.lease.term) - 1;
       attempt.sentEpoch = machine.epoch;
     }
     if (phase !== "fetching" && machine.images.isFetching(job.spec.image))
       machine.markImageFetched(job.spec.image);
-    if (phase === "running" && attempt.runningMs === null) this.noteRunning(attempt);
+    if (phase === "running" && attempt.runningMs === null) this.recordRunning(attempt);
     attempt.phase = phase;
     if (job.isCancelled && !attempt.stop) this.context.attempts.stopAttempt(attempt, 0);
   }
 
-  private noteRunning(attempt: Attempt): void {
+  private recordRunning(attempt: Attempt): void {
     const { job, machine } = attempt;
     const nowMs = this.context.clock.nowMs();
     attempt.runningMs = nowMs;
     log.debug(
       () =>
-        `${job.id}/${attempt.task} (${job.spec.className}) runs on ${machine.name}, ` +
-        `${((nowMs - job.submittedMs) / 1000).toFixed(2)} s after its submission, ${((nowMs - attempt.plannedMs) / 1000).toFixed(2)} s after its plan`,
+        `${job.id}/${attempt.task} (${job.spec.className}) started running on ${machine.name}, ` +
+        `${((nowMs - job.submittedMs) / 1000).toFixed(2)} s after submission, ${((nowMs - attempt.plannedMs) / 1000).toFixed(2)} s after placement`,
     );
   }
 
-  /** The attempt has exited: its place is free, and its result, or why it failed, is noted. */
+  /** Handles an attempt that has exited: frees its resources and records its result or the cause of its failure. */
   private reconcileExited(attempt: Attempt, status: TaskStatus): void {
     const { job, machine } = attempt;
     const { attempts, estimates } = this.context;
     const nowMs = this.context.clock.nowMs();
-    const ranS = attempt.runningMs === null ? 0 : (nowMs - attempt.runningMs) / 1000;
-    // A task that ran had its image.
+    const runTimeS = attempt.runningMs === null ? 0 : (nowMs - attempt.runningMs) / 1000;
+    // The task ran, so its image has been fetched.
     if (status.cause === "done" || status.cause === "error") machine.markImageFetched(job.spec.image);
     attempts.confirmGone(attempt);
     if (status.cause === "done") {
       machine.consecutiveFailures.clear();
-      if (ranS > 0) estimates.runTimes.recordRun(job.spec.className, ranS, job.spec.estimateS);
+      if (runTimeS > 0) estimates.runTimes.recordRun(job.spec.className, runTimeS, job.spec.estimateS);
       attempts.markTaskDone(job, attempt.task);
       return;
     }
-    noteFailure(job, machine, status.cause, nowMs);
+    recordFailure(job, machine, status.cause, nowMs);
     if (status.cause === "error") this.context.cordon.cordonIfFaulty(machine);
     if (job.spec.kind === "gang") attempts.breakGang(job);
   }
 }
 
-/** Notes on the job where and when it may be tried again. */
-function noteFailure(job: Job, machine: Machine, cause: TaskStatus["cause"], nowMs: number): void {
+/** Records on the job where and when it may be retried. */
+function recordFailure(job: Job, machine: Machine, cause: TaskStatus["cause"], nowMs: number): void {
   switch (cause) {
     case "error":
       job.failureCount++;
       job.failedOn.add(machine.name);
       machine.consecutiveFailures.set(job.id, (machine.consecutiveFailures.get(job.id) ?? 0) + 1);
       job.avoidedUntilMs.set(machine.name, nowMs + AVOID_AFTER_ERROR_MS);
-      // A job with a mistake fails everywhere: it is tried less and less often.
+      // A misconfigured job fails on every machine, so its retries back off.
       job.notBeforeMs = nowMs + retryDelayMs(job.failureCount);
       break;
     case "no_room":
-      job.avoidedUntilMs.set(machine.name, nowMs + AVOID_WITHOUT_ROOM_MS);
+      job.avoidedUntilMs.set(machine.name, nowMs + AVOID_NO_ROOM_MS);
       break;
     case "in_use":
       job.avoidedUntilMs.set(machine.name, nowMs + AVOID_IN_USE_MS);
       break;
     case "unknown":
-      job.notBeforeMs = nowMs + RETRY_UNKNOWN_MS;
+      job.notBeforeMs = nowMs + UNKNOWN_JOB_RETRY_MS;
       break;
-    // Stopped on request, or lost without its own or the machine's fault.
+    // The attempt finished, was stopped on request, or ended through no fault of the job or the machine.
     case "done":
     case "stopped":
     case "peers":
@@ -181,8 +190,8 @@
   }
 }
 
-/** Pause before a job with so many failures is tried again. */
+/** Returns the delay, in milliseconds, before a job with the given number of failures is retried. */
 function retryDelayMs(failures: number): number {
-  const doublings = Math.min(MAX_RETRY_DOUBLINGS, Math.max(0, failures - FREE_FAILURES));
-  return Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** doublings);
+  const doublings = Math.min(MAX_RETRY_DOUBLINGS, Math.max(0, failures - FAILURES_BEFORE_BACKOFF));
+  return Math.min(MAX_RETRY_DELAY_MS, INITIAL_RETRY_DELAY_MS * 2 ** doublings);
 }
--- a/src/coordination/machines/silenceCounts.ts
+++ b/src/coordination/machines/silenceCounts.ts
@@ -1,25 +1,25 @@
-/** Tells a silent machine from a silent zone or controller, by counting who else is silent. */
+/** Distinguishes a single silent machine from a failed zone or controller by counting the silent machines of each. */
 import type { Machine } from "../../bookkeeping/workload.js";
 
-/** Machines that are up, silent ones among them. */
-interface Group {
+/** Number of machines that are up, and how many of them are silent. */
+interface MachineCounts {
   up: number;
   silent: number;
 }
 
-/** A zone seems to be cut off when at least so many of its machines, and more than this part of them, are silent. */
+/** A zone is considered partitioned when at least this many, and more than this fraction, of its machines are silent. */
 const MIN_SILENT_IN_ZONE = 3;
-const SILENT_PART_OF_ZONE = 1 / 2;
-/** A controller seems to be at fault when at least so many of its machines, and this part of them, are silent. */
+const SILENT_FRACTION_OF_ZONE = 1 / 2;
+/** A controller is suspected when at least this many, and at least this fraction, of its machines are silent. */
 const MIN_SILENT_AT_SERVER = 4;
-const SILENT_PART_AT_SERVER = 1 / 4;
+const SILENT_FRACTION_AT_SERVER = 1 / 4;
 
-/** How many machines are silent, by zone and by the controller that serves them: where the cause of a silence may lie. */
+/** Counts silent machines by zone and by heartbeat server, to show whether a zone or a controller causes the silence. */
 export class SilenceCounts {
-  /** Spot machines that are up, silent or not. */
+  /** Number of spot machines that are up, including silent ones. */
   readonly spotMachinesUp: number;
-  private readonly zones = new Map<string, Group>();
-  private readonly servers = new Map<string, Group>();
+  private readonly zones = new Map<string, MachineCounts>();
+  private readonly servers = new Map<string, MachineCounts>();
 
   constructor(machines: Iterable<Machine>, suspectS: number, nowMs: number) {
     let spotMachinesUp = 0;
@@ -33,26 +33,28 @@
     this.spotMachinesUp = spotMachinesUp;
   }
 
-  /** Are most machines of its zone silent? Then the zone is probably cut off, and its machines are well. */
-  isMostOfZoneSilent(machine: Machine): boolean {
+  /** True if most machines in the machine's zone are silent: the zone is probably partitioned and its machines healthy. */
+  isZoneMostlySilent(machine: Machine): boolean {
     const zone = this.zones.get(machine.zone);
     return (
-      zone !== undefined && zone.silent >= MIN_SILENT_IN_ZONE && zone.silent > zone.up * SILENT_PART_OF_ZONE
+      zone !== undefined &&
+      zone.silent >= MIN_SILENT_IN_ZONE &&
+      zone.silent > zone.up * SILENT_FRACTION_OF_ZONE
     );
   }
 
-  /** Are many of the machines silent that the same controller serves? Then the controller is probably the cause. */
-  areManyOfServerSilent(machine: Machine): boolean {
+  /** True if many machines served by the machine's controller are silent: the controller is probably the cause. */
+  isServerSuspect(machine: Machine): boolean {
     const server = this.servers.get(machine.heartbeatServer ?? "");
     return (
       server !== undefined &&
       server.silent >= MIN_SILENT_AT_SERVER &&
-      server.silent >= server.up * SILENT_PART_AT_SERVER
+      server.silent >= server.up * SILENT_FRACTION_AT_SERVER
     );
   }
 }
 
-function addTo(groups: Map<string, Group>, key: string, isSilent: boolean): void {
+function addTo(groups: Map<string, MachineCounts>, key: string, isSilent: boolean): void {
   const group = groups.get(key) ?? { up: 0, silent: 0 };
   group.up++;
   if (isSilent) group.silent++;
--- a/test/commandBatch.test.ts
+++ b/test/commandBatch.test.ts
@@ -16,21 +16,31 @@
     isSent: boolean;
   }[] = [
     { name: "is sent once the attempt is durable", attempt: NOT_SENT, isSent: true },
-    { name: "is not sent before that", attempt: { ...NOT_SENT, isDurable: false }, isSent: false },
     {
-      name: "is not sent for an attempt of an earlier leader",
+      name: "is not sent before the attempt is durable",
+      attempt: { ...NOT_SENT, isDurable: false },
+      isSent: false,
+    },
+    {
+      name: "is not sent for an attempt inherited from an earlier leader",
       attempt: { ...NOT_SENT, isInherited: true },
       isSent: false,
     },
     {
-      name: "is not sent for an attempt that is listed",
+      name: "is not sent for an attempt that the worker lists",
       attempt: { phase: "fetching" },
       sinceSentMs: 9000,
       isSent: false,
     },
-    { name: "is not repeated at once", attempt: {}, sinceSentMs: 1199, isSent: false },
-    { name: "is repeated after a while", attempt: {}, sinceSentMs: 1200, isSent: true },
-    { name: "is not repeated in another epoch", attempt: {}, epoch: 2, sinceSentMs: 9000, isSent: false },
+    { name: "is not repeated within its retry interval", attempt: {}, sinceSentMs: 1199, isSent: false },
+    { name: "is repeated after its retry interval", attempt: {}, sinceSentMs: 1200, isSent: true },
+    {
+      name: "is not repeated in another epoch of the worker",
+      attempt: {},
+      epoch: 2,
+      sinceSentMs: 9000,
+      isSent: false,
+    },
   ];
   for (const { name, attempt: change, epoch = 1, sinceSentMs = 0, isSent } of cases)
     test(name, async () => {
@@ -40,19 +50,22 @@
       machine.epoch = epoch;
       await term.clock.advance(sinceSentMs);
       const nowMs = term.clock.nowMs();
-      const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, { starts: true, raise: false });
+      const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, {
+        includeStarts: true,
+        raiseToken: false,
+      });
       const start = { op: "start", jobId: "job-1", task: 0, attempt: attempt.number };
-      assert.deepEqual(batch, { token: FIRST_TOKEN, commands: isSent ? [start] : [] });
+      assert.deepEqual(batch, { fencingToken: FIRST_TOKEN, commands: isSent ? [start] : [] });
       if (!isSent) return;
       assert.deepEqual([attempt.sentToken, attempt.sentEpoch, attempt.sentMs], [FIRST_TOKEN, epoch, nowMs]);
       assert.equal(machine.lastStartToken, FIRST_TOKEN);
     });
 
-  test("is not sent while starts may not be", () => {
+  test("is not sent while starts are not allowed", () => {
     const term = new MachineTerm();
     const machine = term.machine();
     const attempt = term.attempt(term.job(), machine, NOT_SENT);
-    const options = { starts: false, raise: false };
+    const options = { includeStarts: false, raiseToken: false };
     const batch = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
     assert.deepEqual(batch.commands, []);
     assert.equal(attempt.sentToken, -1);
@@ -62,17 +75,17 @@
 describe("an attempt's stop command", () => {
   const sinceMs = 0;
   const cases: { name: string; sentMsAgo: number | null; attempt?: Partial<Attempt>; isSent: boolean }[] = [
-    { name: "is sent", sentMsAgo: null, isSent: true },
-    { name: "is not repeated at once", sentMsAgo: 599, isSent: false },
-    { name: "is repeated after a while", sentMsAgo: 600, isSent: true },
+    { name: "is sent when the attempt has a stop request", sentMsAgo: null, isSent: true },
+    { name: "is not repeated within its retry interval", sentMsAgo: 599, isSent: false },
+    { name: "is repeated after its retry interval", sentMsAgo: 600, isSent: true },
     {
-      name: "is not needed when its start was never sent",
+      name: "is not sent when the start was never sent",
       sentMsAgo: null,
       attempt: NOT_SENT,
       isSent: false,
     },
     {
-      name: "is needed when an earlier leader may have sent its start",
+      name: "is sent when an earlier leader may have sent the start",
       sentMsAgo: null,
       attempt: { ...NOT_SENT, isInherited: true },
       isSent: true,
@@ -86,14 +99,17 @@
       const lastSentMs = sentMsAgo === null ? -Infinity : nowMs - sentMsAgo;
       const stop = { sinceMs, graceS: 4, isSent: sentMsAgo !== null, lastSentMs };
       const attempt = term.attempt(term.job(), machine, { ...change, stop });
-      const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, { starts: true, raise: false });
+      const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, {
+        includeStarts: true,
+        raiseToken: false,
+      });
       const command = { op: "stop", jobId: "job-1", task: 0, attempt: attempt.number, graceS: 4 };
       assert.deepEqual(batch.commands, isSent ? [command] : []);
       if (isSent) assert.deepEqual(attempt.stop, { ...stop, isSent: true, lastSentMs: nowMs });
     });
 });
 
-describe("a listed task that is no attempt of the machine's", () => {
+describe("a listed task that is not a current attempt on the machine", () => {
   const done: Partial<TaskStatus> = { phase: "exited", cause: "done" };
   const failed: Partial<TaskStatus> = { phase: "exited", cause: "error" };
   const markDurable = (job: Job): void => {
@@ -106,7 +122,7 @@
     prepare?: (job: Job) => void;
     op: string | null;
   }[] = [
-    { name: "is stopped when it runs", status: { phase: "running" }, op: "stop" },
+    { name: "is stopped when it is running", status: { phase: "running" }, op: "stop" },
     { name: "is reaped when it failed", status: failed, op: "reap" },
     {
       name: "is not reaped while its result is not durable",
@@ -121,7 +137,7 @@
       prepare: (job) => void (job.cancelledAt = new Date(0)),
       op: "reap",
     },
-    { name: "is reaped when its job is not known", status: { ...done, jobId: "job-9" }, op: "reap" },
+    { name: "is reaped when its job is unknown", status: { ...done, jobId: "job-9" }, op: "reap" },
   ];
   for (const { name, status, prepare, op } of cases)
     test(name, () => {
@@ -132,7 +148,7 @@
       term.attempts.confirmGone(attempt);
       prepare?.(job);
       machine.listedTasks = [listed(attempt, status)];
-      const options = { starts: true, raise: false };
+      const options = { includeStarts: true, raiseToken: false };
       const { commands } = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
       assert.deepEqual(
         commands.map((command) => command.op),
@@ -141,39 +157,51 @@
     });
 });
 
-describe("the token of a batch", () => {
-  const cases: { name: string; lastStartToken: number; reaps: boolean; raise: boolean; token: number }[] = [
+describe("the fencing token of a batch", () => {
+  const cases: {
+    name: string;
+    lastStartToken: number;
+    reaps: boolean;
+    raiseToken: boolean;
+    token: number;
+  }[] = [
     {
-      name: "stays without reaps",
+      name: "is unchanged without reaps",
       lastStartToken: FIRST_TOKEN,
       reaps: false,
-      raise: false,
+      raiseToken: false,
       token: FIRST_TOKEN,
     },
     {
-      name: "exceeds that of the starts sent before, when it reaps",
+      name: "is raised above that of earlier starts when the batch reaps",
       lastStartToken: FIRST_TOKEN,
       reaps: true,
-      raise: false,
+      raiseToken: false,
       token: FIRST_TOKEN + 1,
     },
     {
-      name: "stays when it reaps and no start was sent under it",
+      name: "is unchanged when the batch reaps and no start was sent under this token",
       lastStartToken: FIRST_TOKEN - 1,
       reaps: true,
-      raise: false,
+      raiseToken: false,
       token: FIRST_TOKEN,
     },
-    { name: "is raised on request", lastStartToken: -1, reaps: false, raise: true, token: FIRST_TOKEN + 1 },
     {
-      name: "is raised above the starts sent before, on request",
+      name: "is raised on request",
+      lastStartToken: -1,
+      reaps: false,
+      raiseToken: true,
+      token: FIRST_TOKEN + 1,
+    },
+    {
+      name: "is raised above that of earlier starts on request",
       lastStartToken: FIRST_TOKEN + 4,
       reaps: false,
-      raise: true,
+      raiseToken: true,
       token: FIRST_TOKEN + 5,
     },
   ];
-  for (const { name, lastStartToken, reaps, raise, token } of cases)
+  for (const { name, lastStartToken, reaps, raiseToken, token } of cases)
     test(name, () => {
       const term = new MachineTerm();
       const machine = term.machine();
@@ -183,9 +211,9 @@
       const next = term.attempt(job, machine, { ...NOT_SENT, task: 1 });
       machine.lastStartToken = lastStartToken;
       if (reaps) machine.listedTasks = [listed(exited, { phase: "exited", cause: "error" })];
-      const options = { starts: true, raise };
+      const options = { includeStarts: true, raiseToken };
       const batch = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
-      assert.equal(batch.token, token);
-      assert.equal(next.sentToken, token, "starts of the same batch carry it already");
+      assert.equal(batch.fencingToken, token);
+      assert.equal(next.sentToken, token, "starts in the same batch carry the raised token");
     });
 });
--- a/test/commandRouter.test.ts
+++ b/test/commandRouter.test.ts
@@ -15,12 +15,12 @@
   return { machine, address: `${machine}:80`, fencingToken: 5, epoch: 1, commands };
 }
 
-/** A router whose peers and workers record what they are sent. */
+/** A router with fake peers and workers that record what they are sent. */
 class RouterFixture {
   readonly clock = new SimClock();
-  /** "peer kind machine,machine" for each message to another controller. */
+  /** Messages to other controllers, each written as "peer kind machine,machine". */
   readonly sent: string[] = [];
-  /** Addresses of workers that were sent commands from here. */
+  /** Addresses of the workers to which this controller sent commands directly. */
   readonly requests: string[] = [];
   readonly results: DeliveryResult[] = [];
   isLinkUp = true;
@@ -55,7 +55,7 @@
 }
 
 describe("deliveries", () => {
-  test("for this controller, or for none, go to the worker at once", async () => {
+  test("through this controller, or through none, are sent to the worker at once", async () => {
     const { router, clock, requests, sent } = new RouterFixture();
     router.deliver(TERM, null, delivery("host-1"));
     router.deliver(TERM, "n1", delivery("host-2"));
@@ -63,7 +63,7 @@
     assert.deepEqual([requests, sent], [["host-1:80", "host-2:80"], []]);
   });
 
-  test("for the same controller and term share a frame", async () => {
+  test("through the same controller in the same term share a frame", async () => {
     const { router, clock, sent } = new RouterFixture();
     router.deliver(TERM, "n2", delivery("host-1"));
     router.deliver(TERM, "n3", delivery("host-2"));
@@ -78,7 +78,7 @@
     assert.deepEqual(sent.slice(2), ["n2 deliveries host-4", "n2 deliveries host-5"]);
   });
 
-  test("with many commands are split over frames", async () => {
+  test("with many commands are split into several frames", async () => {
     const { router, clock, sent } = new RouterFixture();
     router.deliver(TERM, "n2", delivery("host-1", 1000));
     router.deliver(TERM, "n2", delivery("host-2", 499));
@@ -87,7 +87,7 @@
     assert.deepEqual(sent, ["n2 deliveries host-1,host-2", "n2 deliveries host-3"]);
   });
 
-  test("without a link to the controller go to the worker from here", async () => {
+  test("through a controller without a link are sent directly to the worker", async () => {
     const fixture = new RouterFixture();
     fixture.isLinkUp = false;
     fixture.router.deliver(TERM, "n2", delivery("host-1"));
@@ -96,10 +96,10 @@
     assert.equal(fixture.results.length, 1);
   });
 
-  test("that are carried for a leader return their results, forty in a frame", async () => {
+  test("on behalf of a leader return their results in frames of at most forty", async () => {
     const { router, clock, sent, results } = new RouterFixture();
     const machines = Array.from({ length: 41 }, (_, number) => `host-${number}`);
-    router.deliverFor(
+    router.deliverForLeader(
       "n0",
       TERM,
       machines.map((machine) => delivery(machine)),
@@ -121,19 +121,19 @@
     neverSent: boolean;
   }[] = [
     {
-      name: "has the response's status",
+      name: "contains the response's status",
       respond: () => Promise.resolve({ status: 409, body: null }),
       status: 409,
       neverSent: false,
     },
     {
-      name: "says that nothing was sent when no connection was made",
+      name: "reports that nothing was sent when the connection failed",
       respond: () => Promise.reject(new NoResponseError("refused", true)),
       status: null,
       neverSent: true,
     },
     {
-      name: "leaves open what was sent when no response came",
+      name: "does not rule out that commands were sent when the response timed out",
       respond: () => Promise.reject(new NoResponseError("timeout", false)),
       status: null,
       neverSent: false,
@@ -149,7 +149,7 @@
       assert.deepEqual(fixture.results, [result]);
     });
 
-  test("says that nothing was sent while another delivery to the machine is under way", async () => {
+  test("reports that nothing was sent while another delivery to the machine is in flight", async () => {
     const fixture = new RouterFixture();
     fixture.respond = () => new Promise(() => undefined);
     fixture.router.deliver(TERM, null, delivery("host-1"));
--- a/test/cordon.test.ts
+++ b/test/cordon.test.ts
@@ -5,27 +5,27 @@
 import type { JobSpec } from "../src/protocol/model.js";
 import { MachineTerm } from "./fakes/machineTerm.js";
 
-describe("a machine is cordoned as faulty", () => {
+describe("a machine", () => {
   const runsElsewhere = (job: Job): void => void job.markDone(1);
   const cases: { name: string; failures: number[]; prepare?: (job: Job) => void; isCordoned: boolean }[] = [
-    { name: "not without failures", failures: [], isCordoned: false },
-    { name: "not when one job alone fails", failures: [9], isCordoned: false },
-    { name: "not when two jobs fail once", failures: [1, 1], isCordoned: false },
-    { name: "when two jobs fail three times together", failures: [2, 1], isCordoned: true },
+    { name: "is not cordoned without failures", failures: [], isCordoned: false },
+    { name: "is not cordoned when only one job fails", failures: [9], isCordoned: false },
+    { name: "is not cordoned when two jobs fail once each", failures: [1, 1], isCordoned: false },
+    { name: "is cordoned when two jobs fail three times in total", failures: [2, 1], isCordoned: true },
     {
-      name: "not when a job that runs elsewhere fails once",
+      name: "is not cordoned when a job that runs well elsewhere fails once",
       failures: [1],
       prepare: runsElsewhere,
       isCordoned: false,
     },
     {
-      name: "when a job that runs elsewhere fails twice",
+      name: "is cordoned when a job that runs well elsewhere fails twice",
       failures: [2],
       prepare: runsElsewhere,
       isCordoned: true,
     },
     {
-      name: "not when the jobs fail everywhere",
+      name: "is not cordoned when the jobs fail on every machine",
       failures: [9, 9],
       prepare: (job) => ["host-1", "host-2", "host-3", "host-4"].forEach((name) => job.failedOn.add(name)),
       isCordoned: false,
@@ -42,11 +42,11 @@
       }
       term.cordon.cordonIfFaulty(machine);
       assert.equal(machine.isCordoned, isCordoned);
-      assert.equal(machine.cordonReason, isCordoned ? "fails what it starts" : "");
+      assert.equal(machine.cordonReason, isCordoned ? "repeated task failures" : "");
     });
 });
 
-test("a faulty machine keeps what runs, gives up what has not started, and is tried again after 90 seconds", () => {
+test("a faulty machine keeps running tasks, evicts attempts that have not started, and is uncordoned after 90 seconds", () => {
   const term = new MachineTerm();
   const machine = term.machine();
   const attempts = (["running", "saving", "waiting", "fetching", null] as const).map((phase, index) =>
@@ -64,7 +64,7 @@
       [null, true],
     ],
   );
-  assert.equal(machine.consecutiveFailures.size, 0, "counted anew afterwards");
+  assert.equal(machine.consecutiveFailures.size, 0, "the count of consecutive failures starts again");
   const untilMs = term.clock.nowMs() + 90_000;
   liftExpiredCordon(machine, untilMs);
   assert.equal(machine.isCordoned, true);
@@ -72,25 +72,30 @@
   assert.equal(machine.isCordoned, false);
 });
 
-describe("before an interruption, with 100 seconds of notice,", () => {
+describe("before an interruption with 100 seconds of notice,", () => {
   const cases: {
     name: string;
     spec?: Partial<JobSpec>;
     attempt?: Partial<Attempt>;
-    /** How long the task has run. */
+    /** Time for which the task has run, in seconds. */
     ranS?: number;
-    /** Null: the task is left alone. */
+    /** Grace period of the stop request, in seconds; null if the task is not stopped. */
     graceS: number | null;
   }[] = [
-    { name: "a task that should be over in 59 seconds is left alone", ranS: 41, graceS: null },
-    { name: "a task that should run for 60 seconds more is stopped", ranS: 40, graceS: 0 },
+    { name: "a task that is expected to finish within 59 seconds keeps running", ranS: 41, graceS: null },
+    { name: "a task that is expected to run for 60 more seconds is stopped", ranS: 40, graceS: 0 },
     {
-      name: "a task with checkpoints is stopped with the time to save one",
+      name: "a task with checkpoints is stopped with enough time to save a checkpoint",
       spec: { checkpointS: 30, saveS: 4 },
       ranS: 99,
       graceS: 5,
     },
-    { name: "a task that does not run yet is stopped", attempt: { phase: "fetching" }, ranS: 99, graceS: 0 },
+    {
+      name: "a task that is not running yet is stopped",
+      attempt: { phase: "fetching" },
+      ranS: 99,
+      graceS: 0,
+    },
     { name: "a gang's task is stopped", spec: { kind: "gang" }, ranS: 99, graceS: 0 },
     { name: "a service's task is stopped", spec: { kind: "service" }, ranS: 99, graceS: 0 },
   ];
@@ -105,6 +110,6 @@
       term.cordon.drainBeforeInterruption(machine);
       assert.equal(attempt.stop?.graceS ?? null, graceS);
       assert.equal(machine.isCordoned, true);
-      assert.equal(machine.cordonReason, "the cloud takes it");
+      assert.equal(machine.cordonReason, "spot interruption notice");
     });
 });
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -4,7 +4,7 @@
 import type { ExitCause, TaskStatus } from "../src/protocol/model.js";
 import { FIRST_TOKEN, listed, MachineTerm } from "./fakes/machineTerm.js";
 
-/** What became of an attempt: it still holds its place, its start is due once more, or it is gone. */
+/** The state of an attempt after reconciliation: it holds its resources, its start is due (again), or it is gone. */
 function outcomeOf(attempt: Attempt): "kept" | "start due" | "gone" {
   if (!attempt.machine.attempts.has(attempt)) return "gone";
   return attempt.sentToken < 0 && !attempt.isInherited ? "start due" : "kept";
@@ -20,24 +20,33 @@
     outcome: ReturnType<typeof outcomeOf>;
     raisesToken: boolean;
   }[] = [
-    { name: "was sent a moment ago: its start may be under way", outcome: "kept", raisesToken: false },
-    { name: "was sent long ago, and never listed", sinceSentMs: 5000, outcome: "kept", raisesToken: false },
     {
-      name: "was listed before, and its token has not been exceeded",
+      name: "is kept right after its start was sent, which may be in flight",
+      outcome: "kept",
+      raisesToken: false,
+    },
+    {
+      name: "is kept if it was never listed, even long after its start was sent",
+      sinceSentMs: 5000,
+      outcome: "kept",
+      raisesToken: false,
+    },
+    {
+      name: "is kept and needs a higher token if it was listed before and no higher token was sent",
       attempt: { phase: "running" },
       sinceSentMs: 1001,
       outcome: "kept",
       raisesToken: true,
     },
     {
-      name: "was listed before, and was sent a moment ago",
+      name: "is kept if it was listed before and its start was sent within the last second",
       attempt: { phase: "running" },
       sinceSentMs: 1000,
       outcome: "kept",
       raisesToken: false,
     },
     {
-      name: "was listed before, and a higher token is under way already",
+      name: "is kept if it was listed before and a higher token is already in flight",
       attempt: { phase: "running" },
       machine: { fencingToken: FIRST_TOKEN + 1 },
       sinceSentMs: 5000,
@@ -45,46 +54,46 @@
       raisesToken: false,
     },
     {
-      name: "was never listed, and the worker has seen a higher token",
+      name: "has its start due again if it was never listed and the worker has seen a higher token",
       machine: { seenToken: FIRST_TOKEN + 1 },
       outcome: "start due",
       raisesToken: false,
     },
     {
-      name: "was listed before, and the worker has seen a higher token",
+      name: "is gone if it was listed before and the worker has seen a higher token",
       attempt: { phase: "running" },
       machine: { seenToken: FIRST_TOKEN + 1 },
       outcome: "gone",
       raisesToken: false,
     },
     {
-      name: "is to be stopped, and the worker has seen a higher token",
+      name: "is gone if it is being stopped and the worker has seen a higher token",
       attempt: { stop: { sinceMs: 0, graceS: 0, isSent: true, lastSentMs: 0 } },
       machine: { seenToken: FIRST_TOKEN + 1 },
       outcome: "gone",
       raisesToken: false,
     },
     {
-      name: "was sent in an earlier epoch of the worker",
+      name: "is gone if its start was sent in an earlier epoch of the worker",
       machine: { epoch: 2 },
       outcome: "gone",
       raisesToken: false,
     },
     {
-      name: "is of an earlier leader, and the worker has seen this term's token",
+      name: "is gone if an earlier leader planned it and the worker has seen this term's token",
       attempt: inherited,
       outcome: "gone",
       raisesToken: false,
     },
     {
-      name: "is of an earlier leader, and the worker has not seen this term's token",
+      name: "is kept if an earlier leader planned it and the worker has not seen this term's token",
       attempt: inherited,
       machine: { seenToken: FIRST_TOKEN - 1 },
       outcome: "kept",
       raisesToken: false,
     },
     {
-      name: "was never sent",
+      name: "has its start due if the start was never sent",
       attempt: { sentToken: -1, sentEpoch: 0 },
       machine: { seenToken: FIRST_TOKEN + 9, epoch: 9 },
       outcome: "start due",
@@ -103,7 +112,7 @@
     });
 });
 
-describe("an attempt that the newest heartbeat lists as exited is gone", () => {
+describe("an attempt that the newest heartbeat lists as exited", () => {
   const cases: {
     cause: ExitCause;
     isDone?: boolean;
@@ -122,7 +131,7 @@
     { cause: "other" },
   ];
   for (const { cause, isDone = false, failures = 0, avoidedForMs, pausedForMs } of cases)
-    test(`with cause ${cause}`, () => {
+    test(`is gone, with cause ${cause}`, () => {
       const term = new MachineTerm();
       const machine = term.machine();
       const job = term.job();
@@ -138,7 +147,7 @@
     });
 });
 
-test("a job that fails again and again pauses for longer, up to a bound", () => {
+test("the retry delay of a job that fails repeatedly doubles up to a maximum", () => {
   const pauses: [failuresBefore: number, pauseMs: number][] = [
     [0, 100],
     [1, 100],
@@ -160,7 +169,7 @@
   }
 });
 
-test("an attempt of an earlier leader that is listed belongs to this term, under a token below its first", () => {
+test("an inherited attempt that is listed is adopted by this term, with a sent token just below the first token of the term", () => {
   const term = new MachineTerm();
   const machine = term.machine();
   const attempt = term.attempt(term.job(), machine, { isInherited: true, sentToken: -1, sentEpoch: 0 });
@@ -179,7 +188,7 @@
   );
 });
 
-test("an attempt of a cancelled job that is listed is stopped at once", () => {
+test("a listed attempt of a cancelled job is stopped without a grace period", () => {
   const term = new MachineTerm();
   const machine = term.machine();
   const job = term.job();
@@ -194,15 +203,20 @@
 describe("a listed result of an attempt that has been replaced", () => {
   const done: Partial<TaskStatus> = { phase: "exited", cause: "done" };
   const cases: { name: string; status: Partial<TaskStatus>; hasOtherAttempt: boolean; isDone: boolean }[] = [
-    { name: "counts when the task has no other attempt", status: done, hasOtherAttempt: false, isDone: true },
     {
-      name: "does not count while the task has another one",
+      name: "marks the task as done when the task has no other attempt",
+      status: done,
+      hasOtherAttempt: false,
+      isDone: true,
+    },
+    {
+      name: "is ignored while the task has another attempt",
       status: done,
       hasOtherAttempt: true,
       isDone: false,
     },
     {
-      name: "does not count when it failed",
+      name: "is ignored when it is a failure",
       status: { phase: "exited", cause: "error" },
       hasOtherAttempt: false,
       isDone: false,
@@ -222,7 +236,7 @@
     });
 });
 
-test("a gang whose member failed is stopped whole", () => {
+test("all other members of a gang are stopped when one member fails", () => {
   const term = new MachineTerm();
   const job = term.job({ kind: "gang" });
   const [first, second] = [term.machine(), term.machine("host-2")];
--- a/test/scaleInReasons.test.ts
+++ b/test/scaleInReasons.test.ts
@@ -3,9 +3,9 @@
 import type { Machine } from "../src/bookkeeping/workload.js";
 import {
   hasFailedToBoot,
-  lostReason,
+  lostMachineReason,
   type ScaleInContext,
-  unusedReason,
+  unusedMachineReason,
 } from "../src/coordination/machines/scaleInReasons.js";
 import { SilenceCounts } from "../src/coordination/machines/silenceCounts.js";
 import type { MachineType } from "../src/protocol/model.js";
@@ -14,7 +14,7 @@
 const LEASE_S = 12;
 const SUSPECT_S = 3;
 
-/** A term that has lasted for so long (its clock began at 1000 ms), with the settings of these tests. */
+/** Creates a term that started the given number of seconds ago, with the tests' settings. The clock starts at 1000 ms. */
 async function termAfter(seconds: number): Promise<{ term: MachineTerm; context: ScaleInContext }> {
   const term = new MachineTerm();
   await term.clock.advance(seconds * 1000);
@@ -32,14 +32,37 @@
     isListedAsRunning?: boolean;
     hasFailed: boolean;
   }[] = [
-    { name: "has three boot times and 30 seconds", type, ageS: 60, termS: 100, hasFailed: false },
-    { name: "has failed after that", type, ageS: 60.1, termS: 100, hasFailed: true },
-    { name: "of unknown type has 210 seconds", ageS: 210, termS: 300, hasFailed: false },
-    { name: "of unknown type has failed after that", ageS: 210.1, termS: 300, hasFailed: true },
-    { name: "is kept while a leader is new", type, ageS: 500, termS: 5, hasFailed: false },
-    { name: "has failed once the leader is not new", type, ageS: 500, termS: 5.1, hasFailed: true },
-    {
-      name: "that was up has two leases and 10 seconds from the term's beginning",
+    {
+      name: "may boot for three times its boot time plus 30 seconds",
+      type,
+      ageS: 60,
+      termS: 100,
+      hasFailed: false,
+    },
+    {
+      name: "has failed to boot after three times its boot time plus 30 seconds",
+      type,
+      ageS: 60.1,
+      termS: 100,
+      hasFailed: true,
+    },
+    { name: "of unknown type may boot for 210 seconds", ageS: 210, termS: 300, hasFailed: false },
+    {
+      name: "of unknown type has failed to boot after 210 seconds",
+      ageS: 210.1,
+      termS: 300,
+      hasFailed: true,
+    },
+    { name: "is kept in the first 5 seconds of a term", type, ageS: 500, termS: 5, hasFailed: false },
+    {
+      name: "has failed to boot once the term is older than 5 seconds",
+      type,
+      ageS: 500,
+      termS: 5.1,
+      hasFailed: true,
+    },
+    {
+      name: "that was up before may reconnect for two leases plus 10 seconds after the start of the term",
       type,
       ageS: 500,
       termS: 34,
@@ -47,7 +70,7 @@
       hasFailed: false,
     },
     {
-      name: "that was up has failed after that",
+      name: "that was up before has failed after two leases plus 10 seconds in the term",
       type,
       ageS: 500,
       termS: 34.1,
@@ -73,32 +96,35 @@
     silentS: number;
     machine?: Partial<Machine>;
     hasAttempt?: boolean;
-    /** Other machines of its zone and controller that are silent as long, and that are not silent. */
-    others?: { silent: number; well: number; zone?: string };
+    /**
+     * Numbers of other machines on its controller that are silent for the same time, and that are not silent; in its zone
+     * unless `zone` is given.
+     */
+    others?: { silent: number; responsive: number; zone?: string };
     reason: string | null;
   }[] = [
-    { name: "is waited for as long as the operator says", silentS: 20, reason: null },
-    { name: "is scaled in after that", silentS: 20.1, reason: "silent for 20.1 s" },
+    { name: "is kept until the operator's abandon timeout", silentS: 20, reason: null },
+    { name: "is scaled in after the operator's abandon timeout", silentS: 20.1, reason: "silent for 20.1 s" },
     {
-      name: "is waited for longer when most of its zone is silent",
+      name: "is kept for 90 seconds when most of its zone is silent",
       silentS: 90,
-      others: { silent: 2, well: 2 },
+      others: { silent: 2, responsive: 2 },
       reason: null,
     },
     {
-      name: "is scaled in after that, too",
+      name: "is scaled in after 90 seconds when most of its zone is silent",
       silentS: 90.1,
-      others: { silent: 2, well: 2 },
+      others: { silent: 2, responsive: 2 },
       reason: "silent for 90.1 s",
     },
     {
-      name: "is not waited for longer when half of its zone is silent",
+      name: "is scaled in after the abandon timeout when half of its zone is silent",
       silentS: 21,
-      others: { silent: 2, well: 3 },
+      others: { silent: 2, responsive: 3 },
       reason: "silent for 21.0 s",
     },
     {
-      name: "without work, on a spot instance, is waited for",
+      name: "without work, on a spot instance, is kept",
       silentS: 7,
       machine: { spot: true },
       reason: null,
@@ -111,29 +137,29 @@
       reason: "spot machine silent for 6.1 s",
     },
     {
-      name: "with work, on a spot instance, is waited for when a quarter of its controller's machines are silent",
+      name: "with work, on a spot instance, is kept when a quarter of its controller's machines are silent",
       silentS: 6.1,
       machine: { spot: true },
       hasAttempt: true,
-      others: { silent: 3, well: 12, zone: "b" },
+      others: { silent: 3, responsive: 12, zone: "b" },
       reason: null,
     },
     {
-      name: "with work, on a spot instance, is not waited for when fewer of its controller's machines are silent",
+      name: "with work, on a spot instance, is scaled in early when fewer of its controller's machines are silent",
       silentS: 6.1,
       machine: { spot: true },
       hasAttempt: true,
-      others: { silent: 3, well: 13, zone: "b" },
+      others: { silent: 3, responsive: 13, zone: "b" },
       reason: "spot machine silent for 6.1 s",
     },
     {
-      name: "whose interruption is due counts as interrupted",
+      name: "counts as interrupted more than 5 seconds after the announced time",
       silentS: 4.1,
       machine: { interruptionAtMs: 95_999 },
-      reason: "taken by the cloud",
+      reason: "spot instance interrupted",
     },
     {
-      name: "whose interruption was due a moment ago is waited for",
+      name: "is kept until 5 seconds after the announced interruption",
       silentS: 4.1,
       machine: { interruptionAtMs: 96_000 },
       reason: null,
@@ -145,18 +171,21 @@
       const nowMs = term.clock.nowMs();
       const machine = Object.assign(term.machine(), change, { lastContactMs: nowMs - silentS * 1000 });
       if (hasAttempt) term.attempt(term.job(), machine);
-      const neighbours = Array.from({ length: (others?.silent ?? 0) + (others?.well ?? 0) }, (_, index) => {
-        const neighbour = term.machine(`host-${index + 2}`);
-        neighbour.zone = others?.zone ?? "a";
-        neighbour.lastContactMs = index < (others?.silent ?? 0) ? machine.lastContactMs : nowMs;
-        return neighbour;
-      });
-      const counts = new SilenceCounts([machine, ...neighbours], SUSPECT_S, nowMs);
-      assert.equal(lostReason(machine, counts, context, nowMs), reason);
+      const otherMachines = Array.from(
+        { length: (others?.silent ?? 0) + (others?.responsive ?? 0) },
+        (_, index) => {
+          const other = term.machine(`host-${index + 2}`);
+          other.zone = others?.zone ?? "a";
+          other.lastContactMs = index < (others?.silent ?? 0) ? machine.lastContactMs : nowMs;
+          return other;
+        },
+      );
+      const counts = new SilenceCounts([machine, ...otherMachines], SUSPECT_S, nowMs);
+      assert.equal(lostMachineReason(machine, counts, context, nowMs), reason);
     });
 });
 
-describe("a machine that is up for 100 seconds and idle for 31", () => {
+describe("a machine that has been up for 100 seconds and idle for 31 seconds", () => {
   const cases: {
     name: string;
     machine?: (nowMs: number) => Partial<Machine>;
@@ -166,38 +195,38 @@
   }[] = [
     { name: "is scaled in", reason: "idle" },
     {
-      name: "is kept while it is not idle for longer than 30",
+      name: "is kept until it has been idle for more than 30 seconds",
       machine: (nowMs) => ({ idleSinceMs: nowMs - 30_000 }),
       reason: null,
     },
     { name: "is kept when it has an attempt", hasAttempt: true, reason: null },
-    { name: "is kept when its room is reserved", isReserved: true, reason: null },
+    { name: "is kept when its capacity is reserved", isReserved: true, reason: null },
     {
       name: "is kept while it is silent",
       machine: (nowMs) => ({ lastContactMs: nowMs - 3000 }),
       reason: null,
     },
     {
-      name: "is kept in its first charged minute",
+      name: "is kept during its first billed minute",
       machine: (nowMs) => ({ createdMs: nowMs - 58_000 }),
       reason: null,
     },
     {
       name: "is scaled in at once when it is cordoned",
-      machine: (nowMs) => ({ isCordoned: true, cordonReason: "fails what it starts", idleSinceMs: nowMs }),
-      reason: "fails what it starts",
+      machine: (nowMs) => ({ isCordoned: true, cordonReason: "repeated task failures", idleSinceMs: nowMs }),
+      reason: "repeated task failures",
     },
     {
-      name: "is scaled in when it can't be reached for long",
+      name: "is scaled in when it has been unreachable for longer than the abandon timeout",
       machine: (nowMs) => ({
         requiredToken: FIRST_TOKEN + 1,
         idleSinceMs: nowMs - 20_001,
         unreachableSinceMs: 0,
       }),
-      reason: "sends heartbeats, but can't be reached",
+      reason: "sends heartbeats but is unreachable",
     },
     {
-      name: "is kept when it can't be reached for less long",
+      name: "is kept while it has been unreachable for no longer than the abandon timeout",
       machine: (nowMs) => ({
         requiredToken: FIRST_TOKEN + 1,
         idleSinceMs: nowMs - 20_000,
@@ -216,6 +245,6 @@
         change?.(nowMs),
       );
       if (hasAttempt) term.attempt(term.job(), machine);
-      assert.equal(unusedReason(machine, { ...context, isReserved: () => isReserved }, nowMs), reason);
+      assert.equal(unusedMachineReason(machine, { ...context, isReserved: () => isReserved }, nowMs), reason);
     });
 });
