--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -218,7 +218,7 @@
       heartbeatS: platform.heartbeatS,
       cancellationRetentionMs: cancellationRetentionS * 1000,
       sendToLeader: this.sendToPeer,
-      sendToNeighbour: this.sendToPeer,
+      sendToZonePeer: this.sendToPeer,
       sendToLocalLeader: (update) => this.leader.tell({ kind: "heartbeat server update", update }),
       onFirstGrant,
       onLaterTerm: (term) => this.elector.tell({ kind: "deposed", term }),
--- a/src/coordination/heartbeats/acknowledgementLimits.ts
+++ b/src/coordination/heartbeats/acknowledgementLimits.ts
@@ -1,70 +1,85 @@
 /**
- * Until when heartbeats may be acknowledged, by what the leader knows of cancellations (rule `ran_cancelled`): a cancelled
- * task that no command reaches has to end in time by its worker's lease.
+ * Limits how long heartbeats may be acknowledged, given the cancellations that the leader knows (rule `ran_cancelled`): a
+ * cancelled task that no stop command reaches must end in time through the expiry of its worker's lease.
  */
 import type { Job, Machine } from "../../bookkeeping/workload.js";
 import { log } from "../../transport/log.js";
 import { acknowledgementLimitMs } from "../term/acknowledgementLimit.js";
 import { GRANT_DURATION_MS } from "./heartbeatServerRegistry.js";
 
-/** Machines are quarantined this much early: limits are computed at each tick only, and a grant counts from its request. */
-const QUARANTINE_AHEAD_MS = 500;
+/**
+ * Machines are quarantined this much early, because limits are computed only once per tick. The delivery of a grant needs
+ * no allowance, because a grant counts from its request.
+ */
+const QUARANTINE_MARGIN_MS = 500;
 
-/** Owns the limits for everybody, for zones, and the machines to which none may apply any more. */
+/** Owns the global limit, the limit of each zone, and the list of quarantined machines. */
 export class AcknowledgementLimits {
-  /** Nobody acknowledges anything after that. Before the records are read nothing is known, so nothing at all. */
-  untilMs = -Infinity;
   /**
-   * Machines with a cancelled task that has not shown in time that it is gone: the machine hangs, commands don't reach it,
-   * or the cancellation became known too late. Their leases have to expire, whatever else runs there.
+   * Steady time after which no controller may acknowledge any heartbeat; -Infinity until the records have been read, since
+   * no cancellation is known before that.
+   */
+  acknowledgeUntilMs = -Infinity;
+  /**
+   * Names of machines with a cancelled task that was not confirmed stopped in time: the machine hangs, commands do not
+   * reach it, or the cancellation became known too late. Their leases must expire, whatever else runs on them.
    */
   quarantined: string[] = [];
-  /** The limit that machines with a cancelled task set for their zone; quarantined machines set none. */
-  private readonly zones = new Map<string, number>();
+  /** Limit in steady time by zone, set by machines with a cancelled task; quarantined machines set none. */
+  private readonly zoneLimitsMs = new Map<string, number>();
 
   constructor(private readonly options: { cancelS: number; leaseS: number; clockErrorMs: number }) {}
 
   /**
-   * Computes all limits from the jobs as they stand at `nowMs` (`wallTime` by the operator's clocks); every cancellation
-   * that was confirmed before `knownMs` is among them.
+   * Recomputes all limits from the current jobs. `nowMs` and `wallTime` are the same moment on the steady and the wall
+   * clock; `jobs` reflects every cancellation that was confirmed to a user before `knownUntilMs`.
    */
-  update(knownMs: number, jobs: Iterable<Job>, nowMs: number, wallTime: Date): void {
+  update(knownUntilMs: number, jobs: Iterable<Job>, nowMs: number, wallTime: Date): void {
     const { cancelS, leaseS } = this.options;
-    this.untilMs = acknowledgementLimitMs(knownMs, cancelS, leaseS);
-    this.zones.clear();
+    this.acknowledgeUntilMs = acknowledgementLimitMs(knownUntilMs, cancelS, leaseS);
+    this.zoneLimitsMs.clear();
     const quarantined: string[] = [];
     for (const [machine, limitMs] of this.machineLimits(jobs, nowMs, wallTime)) {
-      // Whoever has a grant may use it to its end without knowing of this cancellation.
-      const isTooLate = nowMs + GRANT_DURATION_MS + QUARANTINE_AHEAD_MS >= limitMs;
+      // A controller may use its current grant to the end without knowing of this cancellation.
+      const isTooLate = nowMs + GRANT_DURATION_MS + QUARANTINE_MARGIN_MS >= limitMs;
       if (!isTooLate) {
-        this.zones.set(machine.zone, Math.min(this.zones.get(machine.zone) ?? Infinity, limitMs));
+        this.zoneLimitsMs.set(
+          machine.zone,
+          Math.min(this.zoneLimitsMs.get(machine.zone) ?? Infinity, limitMs),
+        );
         continue;
       }
       quarantined.push(machine.name);
       if (!this.quarantined.includes(machine.name))
-        log.info(`${machine.name}: a cancelled task stays, left to its lease`);
+        log.info(
+          `${machine.name}: quarantined until its lease expires, because a cancelled task was not confirmed stopped in time`,
+        );
     }
     this.quarantined = quarantined;
   }
 
-  /** The limit for each machine with a task of a cancelled job. */
+  /** The limit in steady time for each machine with a task of a cancelled job. */
   private machineLimits(jobs: Iterable<Job>, nowMs: number, wallTime: Date): Map<Machine, number> {
     const { cancelS, leaseS, clockErrorMs } = this.options;
     const limits = new Map<Machine, number>();
     for (const job of jobs) {
       if (job.cancelledAt === null) continue;
-      // The clock of whoever wrote that time may be wrong by the error, and so may ours.
-      const agoMs = wallTime.getTime() - job.cancelledAt.getTime() + 2 * clockErrorMs;
-      const limitMs = acknowledgementLimitMs(nowMs - agoMs, cancelS, leaseS);
+      // Both the clock that wrote `cancelledAt` and this one may be off by `clockErrorMs`.
+      const cancellationAgeMs = wallTime.getTime() - job.cancelledAt.getTime() + 2 * clockErrorMs;
+      const limitMs = acknowledgementLimitMs(nowMs - cancellationAgeMs, cancelS, leaseS);
       for (const { machine } of job.attempts)
         limits.set(machine, Math.min(limits.get(machine) ?? Infinity, limitMs));
     }
     return limits;
   }
 
-  /** Until when workers of that zone may be acknowledged by a controller that is cut off with them. */
-  zoneUntilMs(zone: string): number {
-    // A machine whose zone is not known ("") may be in this one.
-    return Math.min(this.untilMs, this.zones.get(zone) ?? Infinity, this.zones.get("") ?? Infinity);
+  /** Steady time until which a controller that is partitioned together with `zone` may acknowledge its workers. */
+  zoneAcknowledgeUntilMs(zone: string): number {
+    // A machine whose zone is unknown ("") may be in this zone.
+    return Math.min(
+      this.acknowledgeUntilMs,
+      this.zoneLimitsMs.get(zone) ?? Infinity,
+      this.zoneLimitsMs.get("") ?? Infinity,
+    );
   }
 }
--- a/src/coordination/heartbeats/acknowledgementRights.ts
+++ b/src/coordination/heartbeats/acknowledgementRights.ts
@@ -1,136 +1,145 @@
 /**
- * What a controller may acknowledge, and until when. An acknowledgement renews a worker's lease, so every right has an end
- * on this process's steady clock, and none of an earlier term is used in the next (rules `ran_twice`, `ran_cancelled`).
+ * Tracks which heartbeats a controller may acknowledge, and until when. An acknowledgement renews a worker's lease, so
+ * every right ends at a time on this process's steady clock, and no right from an earlier term is used in a later one
+ * (rules `ran_twice`, `ran_cancelled`).
  */
 import type { Grant } from "../../protocol/peers/messages.js";
 import { CLOCK_DRIFT } from "../term/clockDrift.js";
 import type { LeadershipLease } from "../term/leadershipLease.js";
 
-/** How long a neighbour's statement that it is isolated, too, counts. */
-const NEIGHBOUR_STATEMENT_MS = 1600;
-/** How long such a statement may take to come, from the end of the last right to acknowledge. */
-const AWAIT_NEIGHBOUR_MS = 1500;
-/** A grant that comes later than this after its request is not used. */
+/** How long a zone peer's announcement that it is isolated, too, stays valid. */
+const ISOLATION_ANNOUNCEMENT_TTL_MS = 1600;
+/** How long this controller waits for such an announcement after its last right to acknowledge any zone ended. */
+const ISOLATION_ANNOUNCEMENT_WAIT_MS = 1500;
+/** A grant that arrives later than this after its request is ignored. */
 const MAX_GRANT_AGE_MS = 10_000;
 
-/** What the leader in this process lets the heartbeat server beside it acknowledge; followers get it with their grants. */
+/** What the leader allows the heartbeat server in its own process to acknowledge; followers receive this in grants. */
 export interface HeartbeatServerLimits {
   term: number;
-  /** Nothing is acknowledged after this, whatever the leadership lease allows. */
-  untilMs: number;
-  /** Until then the workers of our own zone may be acknowledged, if we are cut off with them. */
+  /** Steady time after which nothing is acknowledged, even if the leadership lease would allow it. */
+  acknowledgeUntilMs: number;
+  /** Steady time until which workers of this controller's zone may be acknowledged while the zone is partitioned. */
   zoneLeaseUntilMs: number;
-  /** Machines whose heartbeats may not be acknowledged. */
+  /** Names of machines whose heartbeats must not be acknowledged. */
   quarantined: string[];
-  /** The leader knows the cancellations that were confirmed by this process up to that number. */
+  /** Sequence number of the last cancellation confirmed by this process that the leader has applied. */
   cancellationSeq: number;
 }
 
-/** Owns a controller's rights to acknowledge heartbeats: as leader by its lease, otherwise by the leader's grants. */
+/** Owns a controller's rights to acknowledge heartbeats: a leader's under its lease, a follower's under grants. */
 export class AcknowledgementRights {
+  /** The leadership lease, or null if this controller does not lead. */
   private lease: LeadershipLease | null = null;
-  /** As leader: the bound that the leader's knowledge of cancellations sets in this term. */
-  private limitMs = -Infinity;
+  /** Bound on the leader's own right, set by the cancellations that it knows; -Infinity until its first limits. */
+  private leaderLimitMs = -Infinity;
+  /** End of the latest grant of this term; -Infinity if there is none. */
   private lastGrantUntilMs = -Infinity;
-  /** Until then the workers of our own zone may be acknowledged, if the whole zone is cut off. */
+  /** End of the lease on this controller's zone, which applies while the zone is partitioned; -Infinity if none. */
   private zoneLeaseUntilMs = -Infinity;
-  /** The last moment at which this controller might acknowledge heartbeats of any zone. */
+  /** Upper bound on the end of this controller's rights to acknowledge heartbeats of any zone; -Infinity if none. */
   private anyZoneUntilMs = -Infinity;
-  /** When a controller of our zone last said that it has no right and no leader either. */
-  private neighbourIsolatedMs = -Infinity;
+  /** When a controller of the same zone last announced that it, too, has no right and no leader. */
+  private zonePeerIsolatedMs = -Infinity;
   private quarantined = new Set<string>();
 
   constructor(private readonly zone: string) {}
 
-  /** Is this controller the leader? */
+  /** Whether this controller is the leader. */
   get isLeader(): boolean {
     return this.lease !== null;
   }
 
-  /** The term that this controller leads; undefined: none. */
+  /** The term that this controller leads, or undefined if it leads none. */
   get ledTerm(): number | undefined {
     return this.lease?.term;
   }
 
-  /** Until then this controller may acknowledge heartbeats of any zone. */
-  get untilMs(): number {
-    return this.lease ? Math.min(this.lease.acknowledgeUntilMs, this.limitMs) : this.lastGrantUntilMs;
+  /** Steady time until which this controller may acknowledge heartbeats of any zone. */
+  get acknowledgeUntilMs(): number {
+    return this.lease ? Math.min(this.lease.acknowledgeUntilMs, this.leaderLimitMs) : this.lastGrantUntilMs;
   }
 
-  /** End of the latest grant of this term. */
+  /** End of the latest grant of this term; -Infinity if there is none. */
   get grantUntilMs(): number {
     return this.lastGrantUntilMs;
   }
 
-  /** The election has given, renewed or ended this controller's leadership. */
+  /** Sets the leadership lease that the election granted or renewed; null ends the leadership. */
   setLease(lease: LeadershipLease | null): void {
     this.lease = lease;
   }
 
-  /** Counts the leadership lease into the time up to which anything might be acknowledged. */
-  noteLeaseEnd(lease: LeadershipLease): void {
+  /** Includes the end of the leadership lease in the upper bound on the rights to acknowledge any zone. */
+  recordLeaseEnd(lease: LeadershipLease): void {
     this.anyZoneUntilMs = Math.max(this.anyZoneUntilMs, lease.acknowledgeUntilMs);
   }
 
-  /** Gives up whatever an earlier leader granted: the next one relies on none of it being used from here on. */
-  drop(): void {
+  /** Revokes all rights of an earlier term: the next leader relies on none of them being used from now on. */
+  revokeAll(): void {
     this.lastGrantUntilMs = -Infinity;
     this.zoneLeaseUntilMs = -Infinity;
     this.anyZoneUntilMs = -Infinity;
-    this.neighbourIsolatedMs = -Infinity;
-    this.limitMs = -Infinity;
+    this.zonePeerIsolatedMs = -Infinity;
+    this.leaderLimitMs = -Infinity;
   }
 
-  /** As leader: what the leader in this process allows from now on. */
+  /** Applies the limits of the leader in this process. */
   applyLimits(limits: HeartbeatServerLimits): void {
-    this.limitMs = limits.untilMs;
+    this.leaderLimitMs = limits.acknowledgeUntilMs;
     this.zoneLeaseUntilMs = Math.max(this.zoneLeaseUntilMs, limits.zoneLeaseUntilMs);
     this.quarantined = new Set(limits.quarantined);
   }
 
-  /** As follower: a grant of this term's leader. It counts from its request; false: that is too long ago, or unknown. */
+  /**
+   * Applies a grant from this term's leader. Its duration counts from its request. Returns false, and ignores the grant, if
+   * the request is too old or lies in the future.
+   */
   applyGrant(grant: Grant, nowMs: number): boolean {
     const { requestedAtMs, durationMs, zoneDurationMs } = grant;
     if (requestedAtMs > nowMs || nowMs - requestedAtMs > MAX_GRANT_AGE_MS) return false;
-    this.lastGrantUntilMs = Math.max(this.lastGrantUntilMs, endOfGrant(requestedAtMs, durationMs));
+    this.lastGrantUntilMs = Math.max(this.lastGrantUntilMs, grantEndMs(requestedAtMs, durationMs));
     this.anyZoneUntilMs = Math.max(this.anyZoneUntilMs, this.lastGrantUntilMs);
     if (zoneDurationMs > 0)
-      this.zoneLeaseUntilMs = Math.max(this.zoneLeaseUntilMs, endOfGrant(requestedAtMs, zoneDurationMs));
+      this.zoneLeaseUntilMs = Math.max(this.zoneLeaseUntilMs, grantEndMs(requestedAtMs, zoneDurationMs));
     this.quarantined = new Set(grant.quarantined);
     return true;
   }
 
-  /** A controller of our zone says that it has no right and no leader either. */
-  noteNeighbourIsolated(nowMs: number): void {
-    this.neighbourIsolatedMs = nowMs;
+  /** Records that a controller of the same zone announced that it has no right and no leader. */
+  recordZonePeerIsolated(nowMs: number): void {
+    this.zonePeerIsolatedMs = nowMs;
   }
 
-  /** Only the lease on our own zone is left: neighbours have to know. */
+  /** Whether only the zone lease is left. The zone peers must then be informed. */
   isIsolated(nowMs: number): boolean {
-    return nowMs >= this.untilMs && nowMs < this.zoneLeaseUntilMs;
+    return nowMs >= this.acknowledgeUntilMs && nowMs < this.zoneLeaseUntilMs;
   }
 
   /**
-   * May workers of that zone be acknowledged under the lease on our own zone? A zone that is cut off goes on working
-   * inside, and its tasks run on as long as somebody there acknowledges their workers. Alone this controller can't tell
-   * such a partition from one of its own, where the workers would reach the others if they were refused here: so only
-   * while a neighbour says that it is isolated as well, or for the moment until it can say so.
+   * Whether workers of `zone` may be acknowledged under this controller's zone lease. In a partitioned zone tasks keep
+   * running as long as a controller inside acknowledges their workers. This controller alone cannot tell such a partition
+   * from its own isolation, in which refused workers would reach the other controllers. The zone lease is therefore used
+   * only while a zone peer announces that it is isolated, too, or until the peer has had time to announce it.
    */
-  mayServeOwnZone(zone: string, nowMs: number): boolean {
+  mayAcknowledgeByZoneLease(zone: string, nowMs: number): boolean {
     if (zone !== this.zone || nowMs >= this.zoneLeaseUntilMs) return false;
     return (
-      nowMs - this.anyZoneUntilMs < AWAIT_NEIGHBOUR_MS ||
-      nowMs - this.neighbourIsolatedMs < NEIGHBOUR_STATEMENT_MS
+      nowMs - this.anyZoneUntilMs < ISOLATION_ANNOUNCEMENT_WAIT_MS ||
+      nowMs - this.zonePeerIsolatedMs < ISOLATION_ANNOUNCEMENT_TTL_MS
     );
   }
 
-  /** A cancelled task on that machine has not shown that it is gone: its lease has to expire (rule `ran_cancelled`). */
+  /** Whether a cancelled task may still run on the machine, so that its lease must expire (rule `ran_cancelled`). */
   isQuarantined(machine: string): boolean {
     return this.quarantined.has(machine);
   }
 }
 
-/** Our clock may be the slower one: the right ends before the leader, who counts longer, takes it for ended. */
-function endOfGrant(requestedAtMs: number, durationMs: number): number {
+/**
+ * End of a grant on this process's clock. The duration is shortened by the clock drift, because this clock may be the
+ * slower one: the right ends here before the leader, which counts a longer time, considers it ended.
+ */
+function grantEndMs(requestedAtMs: number, durationMs: number): number {
   return requestedAtMs + durationMs * (1 - 2 * CLOCK_DRIFT);
 }
--- a/src/coordination/heartbeats/confirmedCancellations.ts
+++ b/src/coordination/heartbeats/confirmedCancellations.ts
@@ -1,46 +1,46 @@
 /**
- * The cancellations that this process has confirmed to users and its leader may not know. The leader reads them from the
- * state store as well, unless the state store refuses the leader while it serves us (docs/incidents/gap.md).
+ * Tracks the cancellations that this process has confirmed to users and the leader may not know yet. The leader also reads
+ * them from the state store, unless the store refuses the leader while it serves this process (docs/incidents/gap.md).
  */
 import type { ConfirmedCancellation } from "../../protocol/peers/messages.js";
 
-/** More than these are not kept; once one is dropped, only what the leader reads itself counts. */
+/** Maximum number of entries. After an entry is dropped, the leader relies only on what it reads from the store. */
 const MAX_ENTRIES = 4096;
-/** In one update, so that its frame stays far below the largest that peers accept. */
+/** Maximum number of cancellations in one update, which keeps its frame far below the size limit of peers. */
 const MAX_ENTRIES_PER_UPDATE = 500;
 
-/** What an update to the leader says of cancellations that were confirmed here. */
+/** The part of an update to the leader that reports cancellations confirmed by this process. */
 export interface CancellationUpdate {
   cancellations: ConfirmedCancellation[];
-  /** Number of the last of them; the leader's grants say up to which one they have been applied. */
+  /** Sequence number of the last reported cancellation; grants name the last one that the leader has applied. */
   cancellationSeq: number;
-  /** With this update the leader knows of all that were confirmed here. */
+  /** Whether the leader knows all cancellations confirmed by this process once it has this update. */
   cancellationsComplete: boolean;
 }
 
 interface Entry {
   seq: number;
-  /** The time of day just before the cancellation was committed. */
+  /** Wall-clock time just before the cancellation was committed. */
   cancelledAt: Date;
   /** Steady time of the confirmation. */
   confirmedMs: number;
 }
 
-/** Owns the numbers of confirmed cancellations, and what is kept of them until the leader has them. */
+/** Numbers the confirmed cancellations, and keeps each for the retention time, up to a maximum number of entries. */
 export class ConfirmedCancellations {
-  /** By job, in the order in which they were confirmed. */
+  /** Entries by job ID, in the order of confirmation. */
   private readonly entries = new Map<string, Entry>();
   private lastSeq = 0;
   private acknowledgedSeq = 0;
-  /** When an entry was last dropped that the leader may not know. */
+  /** When an entry that the leader may not know was last dropped for lack of space; -Infinity if never. */
   private lastDroppedMs = -Infinity;
 
   constructor(
-    /** So long after its confirmation no task of such a job can run anywhere: leases not renewed since have expired. */
+    /** Time after a confirmation at which no task of the job can still run: leases not renewed since have expired. */
     private readonly retentionMs: number,
   ) {}
 
-  /** Adds a confirmed cancellation; true when it is new here. */
+  /** Adds a confirmed cancellation; returns false if the job already has one here. */
   add(id: string, cancelledAt: Date, nowMs: number): boolean {
     if (this.entries.has(id)) return false;
     this.entries.set(id, { seq: ++this.lastSeq, cancelledAt, confirmedMs: nowMs });
@@ -52,17 +52,17 @@
     return true;
   }
 
-  /** A new leader knows none of them yet. */
+  /** Marks all cancellations as unacknowledged, because the leader of a new term knows none of them. */
   beginTerm(): void {
     this.acknowledgedSeq = 0;
   }
 
-  /** The leader has applied those up to that number. */
+  /** Records that the leader has applied the cancellations up to sequence number `seq`. */
   acknowledgeUpTo(seq: number): void {
     this.acknowledgedSeq = Math.max(this.acknowledgedSeq, seq);
   }
 
-  /** Drops those that are older than the retention: they concern no running task any more. */
+  /** Drops entries older than the retention time, which no longer concern a running task. */
   expire(nowMs: number): void {
     for (const [id, entry] of this.entries) {
       if (nowMs - entry.confirmedMs < this.retentionMs) break;
@@ -70,7 +70,7 @@
     }
   }
 
-  /** What the next update to the leader has to name: those that it has not acknowledged, the oldest first. */
+  /** Builds the report for the next update: the cancellations that the leader has not acknowledged, oldest first. */
   nextUpdate(nowMs: number): CancellationUpdate {
     const cancellations: ConfirmedCancellation[] = [];
     let cancellationSeq = this.acknowledgedSeq;
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -1,4 +1,4 @@
-/** Issues the grants by which the other controllers acknowledge heartbeats, and the limits of the one in this process. */
+/** Issues the grants for other controllers to acknowledge heartbeats, and the limits for the leader's own process. */
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { Platform } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
@@ -10,13 +10,15 @@
 import type { HeartbeatServerLimits } from "./acknowledgementRights.js";
 import type { HeartbeatServerRegistry } from "./heartbeatServerRegistry.js";
 
-/** When this controller's requests to the state store were last served and refused, in steady time. */
+/** Outcome of this controller's latest requests to the state store. */
 export interface StateStoreHealth {
+  /** When the latest request that the state store served was sent, in steady time; -Infinity if never. */
   readonly lastServedSentMs: number;
+  /** When the state store last refused a request, in steady time; -Infinity if never. */
   readonly lastRefusedMs: number;
 }
 
-/** What the issuer uses of the term and of its controller. */
+/** The parts of the term and of the controller that a grant issuer depends on. */
 export interface GrantIssuerContext {
   clock: Clock;
   platform: Platform;
@@ -26,51 +28,51 @@
   servers: HeartbeatServerRegistry;
   limits: AcknowledgementLimits;
   stateStore: StateStoreHealth;
-  /** All cancellations that were committed before then have been read from the state store. */
+  /** Steady time up to which all committed cancellations have been read from the state store. */
   cancellationsReadUntilMs: () => number;
   sendGrant: (peer: string, grant: Grant) => void;
-  /** Which controllers serve workers, for the heartbeat server in this process, which spreads workers as well. */
+  /** Passes the controllers that serve workers to the heartbeat server in this process for load balancing. */
   onServers: (servers: Grant["servers"]) => void;
-  /** What the heartbeat server in this process may acknowledge. */
+  /** Passes new limits on acknowledgements to the heartbeat server in this process. */
   onLimits: (limits: HeartbeatServerLimits) => void;
-  /** Workers that lately sent their heartbeats to this controller. */
+  /** Number of workers that recently sent heartbeats to this controller. */
   workerCount: () => number;
-  /** This controller's event loop's lag. */
+  /** Event loop lag of this process, in milliseconds. */
   lagMs: () => number;
 }
 
 /**
- * Owns the grants of a term: a controller may acknowledge heartbeats for no longer than the leader itself, and never past
- * what the leader knows of cancellations (rule `ran_cancelled`).
+ * Issues the grants of a term. A controller may acknowledge heartbeats for no longer than the leader itself, and never past
+ * the limit set by the cancellations that the leader knows (rule `ran_cancelled`).
  */
 export class GrantIssuer {
-  /** The other controllers' zones. */
-  private readonly zones: ReadonlyMap<string, string>;
-  /** Number of the last cancellation confirmed by this very process that has been applied. */
+  /** Zone by name of each other controller. */
+  private readonly peerZones: ReadonlyMap<string, string>;
+  /** Sequence number of the last applied cancellation that this process confirmed itself. */
   private localCancellationSeq = 0;
 
   constructor(private readonly context: GrantIssuerContext) {
-    this.zones = new Map(context.platform.peers.map((peer) => [peer.name, peer.zone]));
+    this.peerZones = new Map(context.platform.peers.map((peer) => [peer.name, peer.zone]));
   }
 
-  /** Sends a grant in response to another controller's update, if it may have one. */
+  /** Sends a grant in response to another controller's update, unless the registry withholds one. */
   issueGrant(update: HeartbeatServerUpdate, nowMs: number): void {
     const { servers, limits, lease, stateStore } = this.context;
-    const grant = servers.grant(update, {
-      self: this.ownLoad(),
+    const grant = servers.createGrant(update, {
+      leaderLoad: this.leaderLoad(),
       nowMs,
-      acknowledgeUntilMs: Math.min(lease.acknowledgeUntilMs, limits.untilMs),
+      acknowledgeUntilMs: Math.min(lease.acknowledgeUntilMs, limits.acknowledgeUntilMs),
       stateStoreReachable: stateStore.lastServedSentMs > stateStore.lastRefusedMs,
-      zoneDurationMs: this.zoneLeaseMs(this.zones.get(update.from) ?? "", nowMs),
+      zoneDurationMs: this.zoneLeaseMs(this.peerZones.get(update.from) ?? "", nowMs),
       quarantined: limits.quarantined,
     });
     if (!grant) return;
     this.context.sendGrant(update.from, grant);
-    // The heartbeat server in this process spreads workers as well, and gets no grant.
+    // The heartbeat server in this process balances workers, too, but receives no grant.
     this.context.onServers(grant.servers);
   }
 
-  /** Cancels the jobs whose cancellation a controller has confirmed to users, perhaps before the leader can read it. */
+  /** Cancels the jobs whose cancellation a controller confirmed to users, possibly before the leader can read it. */
   applyCancellations(update: HeartbeatServerUpdate, nowMs: number): void {
     if (update.from === this.context.platform.node)
       this.localCancellationSeq = Math.max(this.localCancellationSeq, update.cancellationSeq);
@@ -81,16 +83,16 @@
     }
   }
 
-  /** Computes anew what may be acknowledged, and publishes it to the heartbeat server in this process. */
+  /** Recomputes the limits on acknowledgements, and publishes them to the heartbeat server in this process. */
   updateLimits(nowMs: number): void {
     const { platform, lease, limits, servers, jobs, clock } = this.context;
     if (!lease.isLoaded) return;
-    const knownMs = servers.cancellationsKnownUntilMs(this.context.cancellationsReadUntilMs());
-    limits.update(knownMs, jobs.values(), nowMs, clock.wallTime());
+    const knownUntilMs = servers.cancellationsKnownUntilMs(this.context.cancellationsReadUntilMs());
+    limits.update(knownUntilMs, jobs.values(), nowMs, clock.wallTime());
     const zoneLeaseMs = this.zoneLeaseMs(platform.zone, nowMs);
     this.context.onLimits({
       term: lease.term,
-      untilMs: limits.untilMs,
+      acknowledgeUntilMs: limits.acknowledgeUntilMs,
       zoneLeaseUntilMs: zoneLeaseMs > 0 ? nowMs + zoneLeaseMs : -Infinity,
       quarantined: limits.quarantined,
       cancellationSeq: this.localCancellationSeq,
@@ -99,18 +101,18 @@
 
   /** Publishes the controllers that serve workers to the heartbeat server in this process. */
   publishServers(nowMs: number): void {
-    this.context.onServers(this.context.servers.activeServers(this.ownLoad(), nowMs));
+    this.context.onServers(this.context.servers.activeServers(this.leaderLoad(), nowMs));
   }
 
-  /** For how long a controller that is cut off with that zone may acknowledge its workers from now on; 0: not at all. */
+  /** How long from `nowMs` a controller partitioned with `zone` may acknowledge its workers; 0 for not at all. */
   private zoneLeaseMs(zone: string, nowMs: number): number {
     const { lease, limits } = this.context;
     if (!lease.isLoaded || !lease.mayWrite()) return 0;
-    const durationMs = Math.floor(limits.zoneUntilMs(zone) - nowMs);
+    const durationMs = Math.floor(limits.zoneAcknowledgeUntilMs(zone) - nowMs);
     return durationMs < MIN_ZONE_LEASE_MS ? 0 : durationMs;
   }
 
-  private ownLoad(): Grant["servers"][number] {
+  private leaderLoad(): Grant["servers"][number] {
     return {
       node: this.context.platform.node,
       machines: this.context.workerCount(),
--- a/src/coordination/heartbeats/heartbeatComparison.ts
+++ b/src/coordination/heartbeats/heartbeatComparison.ts
@@ -1,12 +1,12 @@
-/** Compares a worker's heartbeat with the one that is known of it. */
+/** Compares a worker's heartbeat with the newest known one of the same worker. */
 import type { Heartbeat } from "../../protocol/model.js";
 
-/** Is the heartbeat older than the known one, or the same once more? */
-export function isLateCopy(known: { epoch: number; tick: number }, heartbeat: Heartbeat): boolean {
+/** Whether the heartbeat is older than the known one, or a duplicate of it. */
+export function isStaleOrDuplicate(known: { epoch: number; tick: number }, heartbeat: Heartbeat): boolean {
   return heartbeat.epoch < known.epoch || (heartbeat.epoch === known.epoch && heartbeat.tick <= known.tick);
 }
 
-/** Does the newer heartbeat say nothing but that the worker is alive? The leader need not get it in full then. */
+/** Whether the newer heartbeat only shows that the worker is alive, so that the leader does not need it in full. */
 export function isUnchanged(known: Heartbeat, newer: Heartbeat): boolean {
   return (
     known.epoch === newer.epoch &&
--- a/src/coordination/heartbeats/heartbeatDecision.ts
+++ b/src/coordination/heartbeats/heartbeatDecision.ts
@@ -1,74 +1,77 @@
-/** Decides what to do with a worker's heartbeat. Pure: the heartbeat server carries the decision out. */
+/** Decides how to respond to a worker's heartbeat. The functions are pure; the heartbeat server acts on the decision. */
 import type { Heartbeat } from "../../protocol/model.js";
 import { firstFencingToken } from "../term/fencingTokens.js";
 import type { AcknowledgementRights } from "./acknowledgementRights.js";
-import { isLateCopy } from "./heartbeatComparison.js";
+import { isStaleOrDuplicate } from "./heartbeatComparison.js";
 
 /**
- * Without a grant for so long, workers are redirected to the leader; before that they try the next controller by
- * themselves. A grant comes within a moment, or a leader that is gone is replaced. Redirected meanwhile, all workers
- * reached the leader at once, when it has most to do, and many of their leases expired in its queue.
+ * A controller redirects workers to the leader after this long without a grant; until then refused workers try the next
+ * controller on their own. Usually a grant arrives, or a failed leader is replaced, within this time. Earlier redirects
+ * sent all workers to the leader at once, when it was busiest, and many of their leases expired in its queue.
  */
 const REDIRECT_TO_LEADER_AFTER_MS = 2500;
 
-/** The term that a heartbeat server works in. */
-export interface ServedTerm {
+/** The current term as a heartbeat server knows it. */
+export interface CurrentTerm {
   /** Name of this controller. */
   readonly node: string;
-  /** 0: none yet. */
+  /** Number of the term; 0 before the first one. */
   term: number;
-  /** Name of the term's leader; null: not known. */
+  /** Name of the term's leader, or null if it is unknown. */
   leader: string | null;
-  /** When this process first knew of the term, in steady time. */
-  sinceMs: number;
+  /** When this process first learned of the term, in steady time. */
+  firstSeenMs: number;
 }
 
-/** What to do with a heartbeat, with what the response has to name. */
+/** How to respond to a heartbeat. */
 export type HeartbeatDecision =
-  /** `byZoneLease`: only the lease on our own zone allows it, so that no other controller is named to the worker. */
+  /** Acknowledge it. If only the zone lease allows that (`byZoneLease`), the worker is not redirected for balance. */
   | { readonly kind: "acknowledge"; readonly byZoneLease: boolean }
-  /** Refused without naming another controller. */
-  | { readonly kind: "refuse"; readonly reason: "no right to acknowledge" | "late copy" | "quarantined" }
-  /** Refused; the worker should go to that controller. */
+  /** Refuse it without naming another controller. */
+  | {
+      readonly kind: "refuse";
+      readonly reason: "no right to acknowledge" | "stale or duplicate" | "quarantined";
+    }
+  /** Refuse it, and redirect the worker to the controller `to`. */
   | { readonly kind: "redirect"; readonly to: string }
-  /** The worker has seen a later term's fencing token: this term is over, and so is every right from it. */
+  /** The worker has seen the fencing token of a later term: this term and all rights granted in it have ended. */
   | { readonly kind: "deposed" };
 
-// One object for each decision that is always the same: there are thousands of heartbeats a second.
+// Constant decisions are allocated once, because a controller receives thousands of heartbeats per second.
 const ACKNOWLEDGE: HeartbeatDecision = { kind: "acknowledge", byZoneLease: false };
 const ACKNOWLEDGE_BY_ZONE_LEASE: HeartbeatDecision = { kind: "acknowledge", byZoneLease: true };
 const REFUSE_WITHOUT_RIGHT: HeartbeatDecision = { kind: "refuse", reason: "no right to acknowledge" };
-const REFUSE_LATE_COPY: HeartbeatDecision = { kind: "refuse", reason: "late copy" };
+const REFUSE_STALE_OR_DUPLICATE: HeartbeatDecision = { kind: "refuse", reason: "stale or duplicate" };
 const REFUSE_QUARANTINED: HeartbeatDecision = { kind: "refuse", reason: "quarantined" };
 const DEPOSED: HeartbeatDecision = { kind: "deposed" };
 
-/** The decision on a heartbeat; `known` is the newest that this controller has acknowledged of the worker. */
+/** Decides on a heartbeat; `known` is the newest heartbeat of the worker that this controller has acknowledged. */
 export function decideOnHeartbeat(
   heartbeat: Heartbeat,
   known: Heartbeat | undefined,
   rights: AcknowledgementRights,
-  served: ServedTerm,
+  currentTerm: CurrentTerm,
   nowMs: number,
 ): HeartbeatDecision {
-  const byZoneLease = nowMs >= rights.untilMs;
-  if (byZoneLease && !rights.mayServeOwnZone(heartbeat.zone, nowMs))
-    return decideWithoutRight(rights, served, nowMs);
-  // An acknowledgement from us would be ignored and hold the worker here.
-  if (heartbeat.fencingToken >= firstFencingToken(served.term + 1)) return DEPOSED;
-  // Nobody waits for the response, and it proves nothing: a worker sends one heartbeat at a time.
-  if (known && isLateCopy(known, heartbeat)) return REFUSE_LATE_COPY;
+  const isByZoneLease = nowMs >= rights.acknowledgeUntilMs;
+  if (isByZoneLease && !rights.mayAcknowledgeByZoneLease(heartbeat.zone, nowMs))
+    return decideWithoutRight(rights, currentTerm, nowMs);
+  // The worker would ignore an acknowledgement of this term, and would stay with this controller.
+  if (heartbeat.fencingToken >= firstFencingToken(currentTerm.term + 1)) return DEPOSED;
+  // A worker sends one heartbeat at a time: it does not wait for this response, and a stale heartbeat proves nothing.
+  if (known && isStaleOrDuplicate(known, heartbeat)) return REFUSE_STALE_OR_DUPLICATE;
   if (rights.isQuarantined(heartbeat.machine)) return REFUSE_QUARANTINED;
-  return byZoneLease ? ACKNOWLEDGE_BY_ZONE_LEASE : ACKNOWLEDGE;
+  return isByZoneLease ? ACKNOWLEDGE_BY_ZONE_LEASE : ACKNOWLEDGE;
 }
 
 function decideWithoutRight(
   rights: AcknowledgementRights,
-  served: ServedTerm,
+  currentTerm: CurrentTerm,
   nowMs: number,
 ): HeartbeatDecision {
-  const { leader } = served;
-  if (rights.isLeader || leader === null || leader === served.node) return REFUSE_WITHOUT_RIGHT;
-  const withoutGrantMs = nowMs - Math.max(rights.grantUntilMs, served.sinceMs);
+  const { leader } = currentTerm;
+  if (rights.isLeader || leader === null || leader === currentTerm.node) return REFUSE_WITHOUT_RIGHT;
+  const withoutGrantMs = nowMs - Math.max(rights.grantUntilMs, currentTerm.firstSeenMs);
   if (withoutGrantMs < REDIRECT_TO_LEADER_AFTER_MS) return REFUSE_WITHOUT_RIGHT;
   return { kind: "redirect", to: leader };
 }
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -1,7 +1,7 @@
 /**
- * The heartbeat server of each controller: responds to workers' heartbeats by the leader's grants, or as leader by its own
- * lease, and sends the leader every heartbeat that it has acknowledged. Here are its mailbox, its timers and the order of
- * effects; rights, decisions, batches and balancing are in modules of their own.
+ * The heartbeat server of a controller. It responds to workers' heartbeats under the leader's grants, or under its own
+ * lease if it leads, and reports every acknowledged heartbeat to the leader. This module holds the mailbox, the timers and
+ * the order of effects; separate modules hold rights, decisions, batching and balancing.
  */
 import type { Heartbeat } from "../../protocol/model.js";
 import type { Grant } from "../../protocol/peers/messages.js";
@@ -14,40 +14,41 @@
 import { AcknowledgementRights, type HeartbeatServerLimits } from "./acknowledgementRights.js";
 import { ConfirmedCancellations } from "./confirmedCancellations.js";
 import { isUnchanged } from "./heartbeatComparison.js";
-import { decideOnHeartbeat, type ServedTerm } from "./heartbeatDecision.js";
+import { decideOnHeartbeat, type CurrentTerm } from "./heartbeatDecision.js";
 import type { HeartbeatServerMessage, HeartbeatServerOptions } from "./heartbeatServerOptions.js";
 import { HeartbeatUpdates } from "./heartbeatUpdates.js";
 import { ServedWorkers } from "./servedWorkers.js";
 import { WorkerBalancer } from "./workerBalancer.js";
 
 const STATUS_OK = 200;
-/** The worker should send its heartbeats to the controller that the body names. */
+/** Tells the worker to send its heartbeats to the controller named in the body. */
 const STATUS_REDIRECT = 421;
-/** The worker should try the next controller. */
+/** Tells the worker to try the next controller. */
 const STATUS_UNAVAILABLE = 503;
 
 const TICK_MS = 500;
-/** Changes wait this long so that they share a frame: each frame wakes this process and the leader's. */
-const BATCH_CHANGES_MS = 40;
-/** For so long a new leader has most to do. */
-const NEW_LEADER_MS = 8000;
+/** Changes are batched for this long, because each frame wakes up this process and the leader's. */
+const CHANGE_BATCH_DELAY_MS = 40;
+/** Period after the start of a term in which the leader is busiest and takes a smaller share of the workers. */
+const NEW_LEADER_PERIOD_MS = 8000;
 
 /**
- * Responds to workers' heartbeats. A response with status 200 renews a worker's lease, so it is given only while this
- * controller has the right, and the leader is sent every heartbeat that got one, for its proofs by lease expiry count on
- * that (rule `ran_twice`). The responses carry no commands: those come from the leader alone, by deliveries.
+ * Responds to workers' heartbeats. A response with status 200 renews a worker's lease, so it is sent only while this
+ * controller has the right to acknowledge. Every acknowledged heartbeat is reported to the leader, whose proofs by lease
+ * expiry rely on that (rule `ran_twice`). Responses carry no commands: only the leader issues those, as deliveries.
  */
 export class HeartbeatServer extends Actor<HeartbeatServerMessage> {
-  private readonly served: ServedTerm;
+  private readonly currentTerm: CurrentTerm;
   private readonly rights: AcknowledgementRights;
   private readonly workers: ServedWorkers;
   private readonly updates: HeartbeatUpdates;
   private readonly balancer: WorkerBalancer;
   private readonly confirmedCancellations: ConfirmedCancellations;
-  /** The other controllers of our zone. */
-  private readonly neighbours: string[];
+  /** Names of the other controllers in the same zone. */
+  private readonly zonePeers: string[];
+  /** Whether this process has ever had the right to acknowledge heartbeats. */
   private hasBeenGranted = false;
-  /** Runs until its message has been handled; null: no flush is due. */
+  /** Timer of the scheduled flush, until its message has been handled; null if no flush is scheduled. */
   private flushTimer: Timer | null = null;
   private tickTimer: Timer | null = null;
   private isStopped = false;
@@ -55,31 +56,31 @@
   constructor(private readonly options: HeartbeatServerOptions) {
     super("heartbeat server");
     const { node, zone, zones, incarnation, lagMs } = options;
-    this.served = { node, term: 0, leader: null, sinceMs: -Infinity };
+    this.currentTerm = { node, term: 0, leader: null, firstSeenMs: -Infinity };
     this.rights = new AcknowledgementRights(zone);
     this.workers = new ServedWorkers(options.heartbeatS);
     this.confirmedCancellations = new ConfirmedCancellations(options.cancellationRetentionMs);
     const cancellations = this.confirmedCancellations;
     this.updates = new HeartbeatUpdates({ node, incarnation, cancellations, lagMs });
     this.balancer = new WorkerBalancer(node, zones);
-    this.neighbours = [...zones]
+    this.zonePeers = [...zones]
       .filter(([other, otherZone]) => other !== node && otherZone === zone)
       .map(([other]) => other);
   }
 
-  /** Begins to tick; before that nothing is sent by the clock. */
+  /** Starts the periodic tick; no timer runs before that. */
   start(): void {
     this.tell({ kind: "tick" });
   }
 
-  /** Ends the timers; nothing is sent to the leader any more. */
+  /** Cancels the timers; no further updates are sent to the leader. */
   stop(): void {
     this.isStopped = true;
     this.tickTimer?.cancel();
     this.flushTimer?.cancel();
   }
 
-  /** Workers that lately sent their heartbeats here. */
+  /** Number of workers that recently sent heartbeats to this controller. */
   get workerCount(): number {
     return this.workers.workerCount;
   }
@@ -101,18 +102,18 @@
         this.applyGrant(message.grant);
         break;
       case "servers":
-        // Followers get them with their grants.
+        // Followers receive the list with their grants.
         if (this.rights.isLeader) this.balancer.setServers(message.servers);
         break;
       case "limits":
         this.applyLimits(message.limits);
         break;
       case "cancellation confirmed":
-        this.cancellationConfirmed(message.id, message.at);
+        this.recordCancellation(message.id, message.at);
         break;
       case "isolated":
-        if (message.term === this.served.term && this.neighbours.includes(message.from))
-          this.rights.noteNeighbourIsolated(this.options.clock.nowMs());
+        if (message.term === this.currentTerm.term && this.zonePeers.includes(message.from))
+          this.rights.recordZonePeerIsolated(this.options.clock.nowMs());
         break;
       case "flush":
         this.flushTimer = null;
@@ -125,29 +126,29 @@
   }
 
   private applyElection({ lease, leader, term }: LeadershipChange): void {
-    const { rights, served } = this;
+    const { rights, currentTerm } = this;
     const ledTerm = rights.ledTerm;
     rights.setLease(lease);
-    served.leader = leader;
+    currentTerm.leader = leader;
     if (lease) {
       if (ledTerm !== lease.term) this.beginTerm(lease.term);
-      rights.noteLeaseEnd(lease);
-    } else if (leader !== null && term > served.term) {
+      rights.recordLeaseEnd(lease);
+    } else if (leader !== null && term > currentTerm.term) {
       this.beginTerm(term);
     }
-    // Without a leader a grant is used to its end: the leader that issued it counted on that.
+    // While there is no leader, a grant is used to its end, as the leader that issued it expects.
   }
 
-  /** The new term's leader knows nothing of our workers: it is sent all of them. */
+  /** Resets the state of the previous term, and sends all workers to the new leader, which does not know them yet. */
   private beginTerm(term: number): void {
     const nowMs = this.options.clock.nowMs();
-    this.served.term = term;
-    this.served.sinceMs = nowMs;
-    this.rights.drop();
+    this.currentTerm.term = term;
+    this.currentTerm.firstSeenMs = nowMs;
+    this.rights.revokeAll();
     this.updates.beginTerm();
     this.balancer.setServers([]);
     this.confirmedCancellations.beginTerm();
-    this.updates.resync(this.workers.forResync(nowMs));
+    this.updates.resync(this.workers.workersToResync(nowMs));
     this.flush();
   }
 
@@ -155,49 +156,49 @@
     if (this.rights.ledTerm !== limits.term) return;
     this.rights.applyLimits(limits);
     this.confirmedCancellations.acknowledgeUpTo(limits.cancellationSeq);
-    this.noteFirstGrant();
+    this.reportFirstGrant();
   }
 
   private applyGrant(grant: Grant): void {
-    if (!this.isForUs(grant)) return;
+    if (!this.isGrantForThisProcess(grant)) return;
     const nowMs = this.options.clock.nowMs();
-    if (grant.resync && this.updates.noteResync(grant.issuedAtMs)) {
-      this.updates.resync(this.workers.forResync(nowMs));
+    if (grant.resync && this.updates.acceptResync(grant.issuedAtMs)) {
+      this.updates.resync(this.workers.workersToResync(nowMs));
       this.flushSoon();
     }
     if (!this.rights.applyGrant(grant, nowMs)) return;
-    this.updates.noteGrant(grant.issuedAtMs);
+    this.updates.recordGrant(grant.issuedAtMs);
     this.confirmedCancellations.acknowledgeUpTo(grant.cancellationSeq);
     this.balancer.setServers(grant.servers);
-    this.noteFirstGrant();
+    this.reportFirstGrant();
   }
 
-  /** Only a grant that this very process has requested, from this term's leader. */
-  private isForUs(grant: Grant): boolean {
+  /** Whether this follower process requested the grant, and this term's leader issued it. */
+  private isGrantForThisProcess(grant: Grant): boolean {
     return (
       !this.rights.isLeader &&
-      grant.term === this.served.term &&
-      grant.from === this.served.leader &&
+      grant.term === this.currentTerm.term &&
+      grant.from === this.currentTerm.leader &&
       grant.incarnation === this.options.incarnation
     );
   }
 
-  private noteFirstGrant(): void {
-    if (this.hasBeenGranted || this.options.clock.nowMs() >= this.rights.untilMs) return;
+  private reportFirstGrant(): void {
+    if (this.hasBeenGranted || this.options.clock.nowMs() >= this.rights.acknowledgeUntilMs) return;
     this.hasBeenGranted = true;
     this.options.onFirstGrant();
   }
 
-  private cancellationConfirmed(id: string, at: Date): void {
+  private recordCancellation(id: string, at: Date): void {
     const isNew = this.confirmedCancellations.add(id, at, this.options.clock.nowMs());
-    // At once: the leader may have starts of it under way, or be unable to read it.
+    // The leader may be starting tasks of the job, or be unable to read the record, so the update is sent at once.
     if (isNew) this.flush();
   }
 
   private receiveHeartbeat(heartbeat: Heartbeat, reply: (response: ServerResponse) => void): void {
     const nowMs = this.options.clock.nowMs();
     const known = this.workers.get(heartbeat.machine);
-    const decision = decideOnHeartbeat(heartbeat, known, this.rights, this.served, nowMs);
+    const decision = decideOnHeartbeat(heartbeat, known, this.rights, this.currentTerm, nowMs);
     switch (decision.kind) {
       case "refuse":
         reply({ status: STATUS_UNAVAILABLE, body: {} });
@@ -206,12 +207,12 @@
         reply({ status: STATUS_REDIRECT, body: encodeRedirect(decision.to) });
         break;
       case "deposed":
-        this.rights.drop();
-        this.options.onLaterTerm(this.served.term);
+        this.rights.revokeAll();
+        this.options.onLaterTerm(this.currentTerm.term);
         reply({ status: STATUS_UNAVAILABLE, body: {} });
         break;
       case "acknowledge": {
-        this.balancer.noteReturn(heartbeat.machine, nowMs);
+        this.balancer.detectReturn(heartbeat.machine, nowMs);
         const to = decision.byZoneLease ? null : this.redirectTarget(heartbeat, known !== undefined, nowMs);
         if (to === null) {
           const body = encodeHeartbeatResponse(this.fencingTokenFor(heartbeat), []);
@@ -226,27 +227,27 @@
     }
   }
 
-  /** The token that a response carries: at least this term's first one, so that older leaders' commands are refused. */
+  /** The fencing token of a response: at least this term's first one, so that commands of older leaders are rejected. */
   private fencingTokenFor(heartbeat: Heartbeat): number {
-    return Math.max(firstFencingToken(this.served.term), heartbeat.fencingToken);
+    return Math.max(firstFencingToken(this.currentTerm.term), heartbeat.fencingToken);
   }
 
-  /** Another controller that this worker should go to; null: it stays. */
+  /** The controller that this worker is redirected to for balance, or null if it stays here. */
   private redirectTarget(heartbeat: Heartbeat, isKnown: boolean, nowMs: number): string | null {
     return this.balancer.redirectTarget(heartbeat, {
       isKnown,
-      leader: this.served.leader,
-      leaderIsNew: nowMs - this.served.sinceMs < NEW_LEADER_MS,
+      leader: this.currentTerm.leader,
+      isLeaderNew: nowMs - this.currentTerm.firstSeenMs < NEW_LEADER_PERIOD_MS,
       lagMs: this.options.lagMs(),
       nowMs,
     });
   }
 
-  /** Has the leader sent what was acknowledged: by a leader itself at once, otherwise soon if it says something new. */
+  /** Queues an acknowledged heartbeat for the leader: a leader flushes at once, a follower soon if it brings a change. */
   private recordAcknowledged(heartbeat: Heartbeat, known: Heartbeat | undefined, nowMs: number): void {
     const isSame = known !== undefined && isUnchanged(known, heartbeat);
     const worker = this.workers.record(heartbeat, nowMs);
-    const isPlainRenewal = isSame && !this.updates.isChanged(heartbeat.machine);
+    const isPlainRenewal = isSame && !this.updates.hasPendingChange(heartbeat.machine);
     if (isPlainRenewal) this.updates.addUnchanged(heartbeat);
     else this.updates.addChanged(worker);
     if (this.rights.isLeader) this.flush();
@@ -255,14 +256,14 @@
 
   private flushSoon(): void {
     if (this.flushTimer !== null || this.isStopped) return;
-    this.flushTimer = this.options.clock.after(BATCH_CHANGES_MS, () => this.tell({ kind: "flush" }));
+    this.flushTimer = this.options.clock.after(CHANGE_BATCH_DELAY_MS, () => this.tell({ kind: "flush" }));
   }
 
-  /** Sends the leader what it does not know; also without anything new, as the request for the next grant. */
+  /** Sends pending updates to the leader. Without pending changes an empty update still requests the next grant. */
   private flush(): void {
-    const { leader, term } = this.served;
+    const { leader, term } = this.currentTerm;
     if (this.isStopped || leader === null || term === 0) return;
-    const updates = this.updates.take(term, this.workers.workerCount, this.options.clock.nowMs());
+    const updates = this.updates.takeUpdates(term, this.workers.workerCount, this.options.clock.nowMs());
     for (const update of updates) {
       if (this.rights.isLeader) this.options.sendToLocalLeader(update);
       else this.options.sendToLeader(leader, update);
@@ -275,14 +276,14 @@
     const nowMs = this.options.clock.nowMs();
     this.workers.expire(nowMs);
     this.confirmedCancellations.expire(nowMs);
-    this.balancer.forgetOld(nowMs);
+    this.balancer.expireRedirects(nowMs);
     if (!this.rights.isLeader) this.flush();
     if (this.rights.isIsolated(nowMs)) this.announceIsolation();
   }
 
   private announceIsolation(): void {
-    const { node, term } = this.served;
-    for (const neighbour of this.neighbours)
-      this.options.sendToNeighbour(neighbour, { kind: "isolated", from: node, term });
+    const { node, term } = this.currentTerm;
+    for (const zonePeer of this.zonePeers)
+      this.options.sendToZonePeer(zonePeer, { kind: "isolated", from: node, term });
   }
 }
--- a/src/coordination/heartbeats/heartbeatServerOptions.ts
+++ b/src/coordination/heartbeats/heartbeatServerOptions.ts
@@ -1,4 +1,4 @@
-/** What a heartbeat server is sent, and what it uses of its controller. */
+/** The options and the mailbox messages of a heartbeat server. */
 import type { Heartbeat } from "../../protocol/model.js";
 import type { Grant, HeartbeatServerUpdate, PeerMessage } from "../../protocol/peers/messages.js";
 import type { Clock } from "../../transport/clock.js";
@@ -6,45 +6,48 @@
 import type { LeadershipChange } from "../term/leadershipLease.js";
 import type { HeartbeatServerLimits } from "./acknowledgementRights.js";
 
-/** What a heartbeat server uses of its controller. */
+/** The settings and callbacks that a controller passes to its heartbeat server. */
 export interface HeartbeatServerOptions {
+  /** Name of this controller. */
   node: string;
+  /** Zone of this controller. */
   zone: string;
-  /** Each controller's zone, ours included. */
+  /** Zone by name of each controller, including this one. */
   zones: ReadonlyMap<string, string>;
-  /** Different in each process; below 2^48. */
+  /** Number that differs in each process; below 2^48. */
   incarnation: number;
   clock: Clock;
-  /** Workers' time between heartbeats, in seconds. */
+  /** Interval between a worker's heartbeats, in seconds. */
   heartbeatS: number;
-  /** A cancellation that was confirmed longer ago than this can concern no running task. */
+  /** Time after which a confirmed cancellation can no longer concern a running task. */
   cancellationRetentionMs: number;
+  /** Sends an update to the leader, which runs on another controller. */
   sendToLeader: (leader: string, update: HeartbeatServerUpdate) => void;
-  /** To another controller of our zone. */
-  sendToNeighbour: (node: string, message: PeerMessage) => void;
-  /** To the leader in this process, while it leads. */
+  /** Sends a message to another controller in the same zone. */
+  sendToZonePeer: (node: string, message: PeerMessage) => void;
+  /** Passes an update to the leader in this process while this controller leads. */
   sendToLocalLeader: (update: HeartbeatServerUpdate) => void;
-  /** For the first time in this process, heartbeats may be acknowledged. */
+  /** Called once, when this process may acknowledge heartbeats for the first time. */
   onFirstGrant: () => void;
-  /** A worker has seen the fencing token of a later term than this one. */
+  /** Called when a worker has seen the fencing token of a term later than `term`. */
   onLaterTerm: (term: number) => void;
-  /** How late this process runs what is due: its event loop's lag. */
+  /** Event loop lag of this process, in milliseconds. */
   lagMs: () => number;
 }
 
-/** What a heartbeat server is sent by the other parts of its controller, and by its own timers. */
+/** A message that other parts of the controller, or its own timers, post to a heartbeat server. */
 export type HeartbeatServerMessage =
   | { kind: "election"; change: LeadershipChange }
   | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (response: ServerResponse) => void }
-  /** From the leader, when another controller leads. */
+  /** A grant from the leader while another controller leads. */
   | { kind: "grant"; grant: Grant }
-  /** From the leader in this process: which controllers serve workers. */
+  /** The controllers that serve workers, from the leader in this process. */
   | { kind: "servers"; servers: Grant["servers"] }
-  /** From the leader in this process: what may be acknowledged. */
+  /** The limits on acknowledgements, from the leader in this process. */
   | { kind: "limits"; limits: HeartbeatServerLimits }
-  /** A user has been given the confirmation of a cancellation. */
+  /** A cancellation was confirmed to a user. */
   | { kind: "cancellation confirmed"; id: string; at: Date }
-  /** A controller of our zone has no right to acknowledge and no leader. */
+  /** A controller of the same zone announces that it has no right to acknowledge and no leader. */
   | { kind: "isolated"; from: string; term: number }
   | { kind: "flush" }
   | { kind: "tick" };
--- a/src/coordination/heartbeats/heartbeatServerRecord.ts
+++ b/src/coordination/heartbeats/heartbeatServerRecord.ts
@@ -1,43 +1,46 @@
 /**
- * What the leader knows of one controller that serves workers, and how that changes with the controller's updates. They
- * arrive in their order; a gap in their numbers means that acknowledgements were lost which nobody will name again.
+ * The leader's record of one controller that serves workers, and how the controller's updates change it. Updates arrive in
+ * order; a gap in their sequence numbers means that acknowledgements were lost and will not be reported again.
  */
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { HeartbeatServerFacts } from "../term/leaseProofs.js";
 
-/** Times are the leader's steady time; -Infinity: never. */
+/** The leader's record of one controller. Times are in the leader's steady time; -Infinity means never. */
 export interface HeartbeatServerRecord extends HeartbeatServerFacts {
-  /** After this it acknowledges nothing of its own zone's workers either. */
+  /** Time after which the controller does not acknowledge workers of its own zone either. */
   zoneLeaseUntilMs: number;
-  /** Before this it may have acknowledged any of its own zone's workers, under a zone lease of an earlier leader. */
+  /** Before this time it may have acknowledged workers of its own zone under a zone lease from an earlier leader. */
   zoneAcknowledgementsUnknownBeforeMs: number;
-  /** Differs in each of its processes. */
+  /** Identifies the controller's process; a restart changes it. */
   incarnation: number;
-  /** Number of its last update in this term. */
+  /** Sequence number of its last update in this term; 0 before the first one is applied. */
   sequence: number;
-  /** Workers that it serves, and its event loop's lag, by its last update. */
+  /** Number of workers that it serves, as of its last update. */
   machines: number;
+  /** Its event loop lag in milliseconds, as of its last update. */
   lagMs: number;
+  /** When its last update arrived. */
   lastUpdateMs: number;
+  /** When its last grant was issued. */
   lastGrantMs: number;
-  /** Since when heartbeats of its workers are missing here that it must send again; Infinity: none are. */
+  /** Since when heartbeats are missing here that it must send again; Infinity if none are missing. */
   resyncNeededSinceMs: number;
-  /** When the first update of its present process arrived. */
-  incarnationSinceMs: number;
-  /** Every cancellation that its present process confirmed to users before then is known here. */
+  /** When the first update of its current process arrived. */
+  incarnationFirstUpdateMs: number;
+  /** Time up to which every cancellation that its current process confirmed to users is known here. */
   cancellationsKnownUntilMs: number;
-  /** Number of the last of its process's cancellations that is known here. */
+  /** Sequence number of the last cancellation of its current process that is known here. */
   cancellationSeq: number;
 }
 
-/** The record of a controller whose first update of this term has just arrived; the update itself is not applied yet. */
+/** Creates the record of a controller whose first update of this term has arrived. Does not apply the update itself. */
 export function newServerRecord(update: HeartbeatServerUpdate, nowMs: number): HeartbeatServerRecord {
   return {
     grantUntilMs: -Infinity,
     zoneLeaseUntilMs: -Infinity,
-    // Before it sent its first update of this term, it gave up what an earlier leader had granted.
+    // Before its first update of this term, the controller revoked all rights granted by earlier leaders.
     zoneAcknowledgementsUnknownBeforeMs: nowMs,
-    // In this term it could acknowledge nothing before its first grant.
+    // In this term it cannot have acknowledged anything before its first grant.
     acknowledgementsKnownUntilMs: nowMs,
     acknowledgementsUnknownBeforeMs: -Infinity,
     incarnation: update.incarnation,
@@ -47,19 +50,19 @@
     lastUpdateMs: nowMs,
     lastGrantMs: -Infinity,
     resyncNeededSinceMs: Infinity,
-    incarnationSinceMs: nowMs,
+    incarnationFirstUpdateMs: nowMs,
     cancellationsKnownUntilMs: -Infinity,
     cancellationSeq: 0,
   };
 }
 
-/** Takes an update into the record, its cancellations apart. */
+/** Applies an update to the record, except for its cancellations. */
 export function applyUpdateToRecord(
   record: HeartbeatServerRecord,
   update: HeartbeatServerUpdate,
   nowMs: number,
 ): void {
-  noteGap(record, update, nowMs);
+  detectGap(record, update, nowMs);
   if (record.incarnation !== update.incarnation) beginIncarnation(record, update.incarnation, nowMs);
   record.sequence = update.sequence;
   record.acknowledgementsKnownUntilMs = Math.max(
@@ -71,30 +74,30 @@
   record.lastUpdateMs = nowMs;
 }
 
-/** Checks the update's number against the last one's: lost acknowledgements stay unknown, lost heartbeats are requested. */
-function noteGap(record: HeartbeatServerRecord, update: HeartbeatServerUpdate, nowMs: number): void {
+/** Detects lost updates by the sequence number: their acknowledgements stay unknown, their heartbeats are requested. */
+function detectGap(record: HeartbeatServerRecord, update: HeartbeatServerUpdate, nowMs: number): void {
   const isNext = record.incarnation === update.incarnation && update.sequence === record.sequence + 1;
   if (!isNext) {
-    // A process that was restarted may have lost acknowledgements as well, and its first update may follow a grant to the
-    // process before.
+    // A restarted process may have lost acknowledgements, too, and its first update may arrive after a grant that was
+    // issued to the previous process.
     if (record.grantUntilMs > -Infinity) record.acknowledgementsUnknownBeforeMs = nowMs;
     if (update.sequence !== 1) record.resyncNeededSinceMs = nowMs;
   } else if (update.lastResyncIssuedAtMs >= record.resyncNeededSinceMs) {
-    // Requested until it is carried out. Requested once, and the request lost or too late for a controller that stood still,
-    // a machine whose last heartbeat with a change had been lost seemed to have nothing new to say, and its job was never
-    // done.
+    // The resync stays requested until it has been carried out. When it was requested only once, and the request was lost
+    // or came too late for a stalled controller, a machine whose last changed heartbeat had been lost appeared unchanged,
+    // and its job never completed.
     record.resyncNeededSinceMs = Infinity;
   }
 }
 
 function beginIncarnation(record: HeartbeatServerRecord, incarnation: number, nowMs: number): void {
   record.incarnation = incarnation;
-  record.incarnationSinceMs = nowMs;
+  record.incarnationFirstUpdateMs = nowMs;
   record.cancellationsKnownUntilMs = -Infinity;
   record.cancellationSeq = 0;
 }
 
-/** The cancellations that an update names have been applied. */
+/** Records that the cancellations reported by an update have been applied. */
 export function applyCancellationsToRecord(
   record: HeartbeatServerRecord,
   update: HeartbeatServerUpdate,
@@ -102,7 +105,7 @@
 ): void {
   if (record.incarnation !== update.incarnation) return;
   record.cancellationSeq = Math.max(record.cancellationSeq, update.cancellationSeq);
-  // Whatever it confirms after our grant arrived, it confirms after the time at which we issued that grant.
+  // A cancellation confirmed after the grant arrived was confirmed after the time at which the grant was issued.
   if (update.cancellationsComplete)
     record.cancellationsKnownUntilMs = Math.max(
       record.cancellationsKnownUntilMs,
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -1,4 +1,4 @@
-/** The leader's knowledge of the controllers that acknowledge heartbeats under its grants. */
+/** The leader's registry of the controllers that acknowledge heartbeats under its grants. */
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import { CLOCK_DRIFT } from "../term/clockDrift.js";
 import type { HeartbeatServerFacts } from "../term/leaseProofs.js";
@@ -11,46 +11,47 @@
 
 /** How long a controller may acknowledge heartbeats by one grant. */
 export const GRANT_DURATION_MS = 2000;
-/** An update that follows the last grant more closely than this gets none: most updates carry changes, not a request. */
+/** Minimum time between grants to one controller: most updates are sent to report changes, not to request a grant. */
 const MIN_GRANT_INTERVAL_MS = 250;
-/** A grant counts as used for so much longer than the clocks' drift explains. */
+/** Safety margin on the end of a grant, in addition to the clock drift. */
 const GRANT_MARGIN_MS = 10;
-/** Leadership is only handed to a controller whose last update is younger than this, and that many times faster. */
+/** Leadership is handed over only if a faster controller has sent its last update within this time. */
 const MAX_UPDATE_AGE_MS = 1500;
-const FASTER_BY = 3;
+/** Leadership is handed over only if the leader's event loop lag exceeds another controller's by this factor. */
+const MIN_LAG_RATIO = 3;
 
-/** A controller that serves workers: its name, how many workers it has, its event loop's lag. */
+/** The load of a controller that serves workers: its name, number of workers and event loop lag. */
 type ServerLoad = Grant["servers"][number];
 
-/** What a grant may allow, as the leader stands at that moment. */
-export interface GrantTerms {
-  /** The leader's own load. */
-  self: ServerLoad;
+/** The leader's state that bounds what a grant may allow. */
+export interface GrantConditions {
+  leaderLoad: ServerLoad;
   nowMs: number;
-  /** Until then the leader itself may acknowledge heartbeats. */
+  /** Steady time until which the leader itself may acknowledge heartbeats. */
   acknowledgeUntilMs: number;
+  /** Whether the state store serves the leader's requests. */
   stateStoreReachable: boolean;
-  /** For workers of the requesting controller's own zone; 0: no longer than for the rest. */
+  /** Duration for workers of the requesting controller's own zone; 0 if it is no longer than for other zones. */
   zoneDurationMs: number;
-  /** Machines whose heartbeats may not be acknowledged. */
+  /** Names of machines whose heartbeats must not be acknowledged. */
   quarantined: string[];
 }
 
 /**
- * Owns what the leader knows of the other controllers in its term: until when each may acknowledge heartbeats, and up to
- * when all that it acknowledged is known here. Every proof by lease expiry relies on it (rule `ran_twice`).
+ * Owns the leader's records of the other controllers in its term: until when each may acknowledge heartbeats, and up to
+ * when all of its acknowledgements are known here. Every proof by lease expiry relies on them (rule `ran_twice`).
  */
 export class HeartbeatServerRegistry {
   private readonly records = new Map<string, HeartbeatServerRecord>();
 
   constructor(
-    /** The other controllers' zones. */
-    private readonly zones: ReadonlyMap<string, string>,
-    /** The longest lease on its own zone that an earlier leader can have given a controller; 0: none. */
+    /** Zone by name of each other controller. */
+    private readonly peerZones: ReadonlyMap<string, string>,
+    /** The longest zone lease that an earlier leader can have granted; 0 if zone leases are never granted. */
     private readonly longestZoneLeaseMs: number,
   ) {}
 
-  /** Takes in an update, in the order in which they arrived; a gap makes acknowledgements up to now unknown. */
+  /** Applies an update. Updates must be applied in order of arrival; a gap makes acknowledgements up to now unknown. */
   applyUpdate(update: HeartbeatServerUpdate, nowMs: number): void {
     let record = this.records.get(update.from);
     if (!record) {
@@ -60,80 +61,81 @@
     applyUpdateToRecord(record, update, nowMs);
   }
 
-  /** The cancellations that the update names have been applied. */
+  /** Records that the cancellations reported by the update have been applied. */
   applyCancellations(update: HeartbeatServerUpdate, nowMs: number): void {
     const record = this.records.get(update.from);
     if (record) applyCancellationsToRecord(record, update, nowMs);
   }
 
   /**
-   * Up to when every cancellation that was confirmed to a user is known here: read from the state store, which is done up
-   * to `readUntilMs`, or named by the controller that confirmed it. What a controller's earlier process had confirmed can
-   * only be read, after the first update of the next one arrived.
+   * Time up to which every cancellation confirmed to a user is known here: either read from the state store (complete up to
+   * `readUntilMs`), or reported by the controller that confirmed it. Cancellations confirmed by a controller's previous
+   * process can only be read, so the reports of the current process count only once the store has been read up to the
+   * arrival of its first update.
    */
   cancellationsKnownUntilMs(readUntilMs: number): number {
     let knownUntilMs = Infinity;
-    for (const node of this.zones.keys()) {
+    for (const node of this.peerZones.keys()) {
       const record = this.records.get(node);
-      const isNamed = record !== undefined && readUntilMs >= record.incarnationSinceMs;
-      const namedUntilMs = isNamed ? record.cancellationsKnownUntilMs : -Infinity;
-      knownUntilMs = Math.min(knownUntilMs, Math.max(readUntilMs, namedUntilMs));
+      const isReported = record !== undefined && readUntilMs >= record.incarnationFirstUpdateMs;
+      const reportedUntilMs = isReported ? record.cancellationsKnownUntilMs : -Infinity;
+      knownUntilMs = Math.min(knownUntilMs, Math.max(readUntilMs, reportedUntilMs));
     }
     return knownUntilMs;
   }
 
   /**
-   * A new grant in response to that update, never for longer than the leader itself may acknowledge; null: the leader may
-   * not, or the last grant is too recent.
+   * Creates a grant in response to an update, for no longer than the leader itself may acknowledge. Returns null if the
+   * leader may not acknowledge, or if the last grant to the controller is too recent.
    */
-  grant(update: HeartbeatServerUpdate, terms: GrantTerms): Grant | null {
-    const { self, nowMs, acknowledgeUntilMs, zoneDurationMs } = terms;
+  createGrant(update: HeartbeatServerUpdate, conditions: GrantConditions): Grant | null {
+    const { leaderLoad, nowMs, acknowledgeUntilMs, zoneDurationMs } = conditions;
     const record = this.records.get(update.from);
     const durationMs = Math.floor(Math.min(GRANT_DURATION_MS, acknowledgeUntilMs - nowMs));
     if (!record || durationMs <= 0 || nowMs - record.lastGrantMs < MIN_GRANT_INTERVAL_MS) return null;
     record.lastGrantMs = nowMs;
-    record.grantUntilMs = Math.max(record.grantUntilMs, latestEndMs(nowMs, durationMs));
+    record.grantUntilMs = Math.max(record.grantUntilMs, latestGrantEndMs(nowMs, durationMs));
     if (zoneDurationMs > 0)
-      record.zoneLeaseUntilMs = Math.max(record.zoneLeaseUntilMs, latestEndMs(nowMs, zoneDurationMs));
+      record.zoneLeaseUntilMs = Math.max(record.zoneLeaseUntilMs, latestGrantEndMs(nowMs, zoneDurationMs));
     return {
       kind: "grant",
-      from: self.node,
+      from: leaderLoad.node,
       term: update.term,
       incarnation: update.incarnation,
       requestedAtMs: update.requestedAtMs,
       durationMs,
       zoneDurationMs,
       issuedAtMs: Math.floor(nowMs),
-      stateStoreReachable: terms.stateStoreReachable,
+      stateStoreReachable: conditions.stateStoreReachable,
       resync: record.resyncNeededSinceMs < Infinity,
       cancellationSeq: record.cancellationSeq,
-      quarantined: terms.quarantined,
-      servers: this.activeServers(self, nowMs),
+      quarantined: conditions.quarantined,
+      servers: this.activeServers(leaderLoad, nowMs),
     };
   }
 
-  /** The controllers that serve workers at present: the leader (`self`) and those with a grant. */
-  activeServers(self: ServerLoad, nowMs: number): ServerLoad[] {
-    const servers = [{ ...self }];
+  /** The controllers that currently serve workers: the leader, and each controller with a valid grant. */
+  activeServers(leaderLoad: ServerLoad, nowMs: number): ServerLoad[] {
+    const servers = [{ ...leaderLoad }];
     for (const [node, record] of this.records) {
       if (record.grantUntilMs > nowMs) servers.push({ node, machines: record.machines, lagMs: record.lagMs });
     }
     return servers;
   }
 
-  /** Heartbeats of that controller's workers are missing here: its grants ask for a resync until it is carried out. */
+  /** Requests a resync because heartbeats are missing; the controller's grants ask for it until it is carried out. */
   requestResync(node: string, nowMs: number): void {
     const record = this.records.get(node);
     if (record && record.resyncNeededSinceMs === Infinity) record.resyncNeededSinceMs = nowMs;
   }
 
   /**
-   * What each controller may have acknowledged for a worker of that zone ("": the zone is not known, so any). A controller
-   * without an update in this term may still use a zone lease of an earlier leader; all of those leaders had stopped
-   * issuing by `earlierLeadersSilentFromMs`.
+   * What each controller may have acknowledged for a worker of `zone` (an empty string means unknown, so any zone). A
+   * controller without an update in this term may still use a zone lease from an earlier leader; all earlier leaders had
+   * stopped issuing leases by `earlierLeadersSilentFromMs`.
    */
   *acknowledgementFacts(zone: string, earlierLeadersSilentFromMs: number): Iterable<HeartbeatServerFacts> {
-    for (const [node, serverZone] of this.zones) {
+    for (const [node, serverZone] of this.peerZones) {
       const record = this.records.get(node);
       const isOwnZone = zone === "" || serverZone === zone;
       if (record) yield isOwnZone ? this.ownZoneFacts(record) : record;
@@ -142,7 +144,7 @@
     }
   }
 
-  /** For a worker of the controller's own zone, its lease on the zone counts as well. */
+  /** Facts for a worker of the controller's own zone, for which the zone lease counts as well. */
   private ownZoneFacts(record: HeartbeatServerRecord): HeartbeatServerFacts {
     const unknownBeforeMs = record.acknowledgementsUnknownBeforeMs;
     return {
@@ -155,7 +157,7 @@
     };
   }
 
-  /** For a controller without an update in this term: it may use the longest zone lease that it can have, to the end. */
+  /** Facts for a controller without an update in this term, which may use the longest possible zone lease to its end. */
   private earlierTermFacts(earlierLeadersSilentFromMs: number): HeartbeatServerFacts {
     return {
       grantUntilMs: earlierLeadersSilentFromMs + this.longestZoneLeaseMs * (1 + 2 * CLOCK_DRIFT),
@@ -164,15 +166,19 @@
     };
   }
 
-  /** Does any controller that is connected lag much less than the leader, whose event loop lags by so much? */
+  /** Whether a connected controller's event loop lags much less than the leader's, which lags by `lagMs`. */
   hasFasterServer(lagMs: number, nowMs: number): boolean {
     for (const record of this.records.values())
-      if (nowMs - record.lastUpdateMs < MAX_UPDATE_AGE_MS && record.lagMs * FASTER_BY < lagMs) return true;
+      if (nowMs - record.lastUpdateMs < MAX_UPDATE_AGE_MS && record.lagMs * MIN_LAG_RATIO < lagMs)
+        return true;
     return false;
   }
 }
 
-/** When a grant of that duration has certainly ended. The controller counts it from its request, which was before now. */
-function latestEndMs(nowMs: number, durationMs: number): number {
+/**
+ * Time by which a grant issued at `nowMs` has certainly ended. The controller counts the duration from its request, which
+ * precedes `nowMs`.
+ */
+function latestGrantEndMs(nowMs: number, durationMs: number): number {
   return nowMs + durationMs * (1 + 2 * CLOCK_DRIFT) + GRANT_MARGIN_MS;
 }
--- a/src/coordination/heartbeats/heartbeatUpdates.ts
+++ b/src/coordination/heartbeats/heartbeatUpdates.ts
@@ -1,39 +1,40 @@
 /**
- * Batches what a heartbeat server has acknowledged into updates for the leader. Every acknowledgement is named in exactly
- * one update, and the updates of a term are numbered without a gap: the leader's proofs by lease expiry count on it
- * (rule `ran_twice`).
+ * Batches the heartbeats that a heartbeat server has acknowledged into updates for the leader. Every acknowledgement is
+ * part of exactly one update, and the updates of a term are numbered without gaps: the leader's proofs by lease expiry rely
+ * on both (rule `ran_twice`).
  */
 import type { Heartbeat, ReceivedHeartbeat, UnchangedHeartbeat } from "../../protocol/model.js";
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { CancellationUpdate, ConfirmedCancellations } from "./confirmedCancellations.js";
 import type { ServedWorker } from "./servedWorkers.js";
 
-/** Tasks in the heartbeats of one frame; a frame has to stay far below the largest that peers accept. */
+/** Maximum number of tasks in the heartbeats of one frame, which keeps frames far below the size limit of peers. */
 const MAX_TASKS_PER_FRAME = 1200;
-/** A heartbeat without tasks takes as much of a frame as so many tasks. */
+/** Size of a heartbeat without tasks, in multiples of a task's size. */
 const HEARTBEAT_SIZE_IN_TASKS = 5;
 
-/** Only the last update of a batch names cancellations. */
+/** Placeholder for all but the last update of a batch, which alone reports cancellations. */
 const NO_CANCELLATIONS: CancellationUpdate = {
   cancellations: [],
   cancellationSeq: 0,
   cancellationsComplete: false,
 };
 
-/** What the updates say of their sender. */
+/** The sender's data that each update carries. */
 export interface HeartbeatUpdatesContext {
   node: string;
-  /** Different in each process. */
+  /** Number that differs in each process. */
   incarnation: number;
   cancellations: ConfirmedCancellations;
+  /** Event loop lag of this process, in milliseconds. */
   lagMs: () => number;
 }
 
-/** Owns the acknowledged heartbeats that the leader does not know yet, and the numbers of the updates. */
+/** Owns the acknowledged heartbeats not yet sent to the leader, and the sequence numbers of the updates. */
 export class HeartbeatUpdates {
-  /** Workers whose newest heartbeat says nothing new. */
+  /** Heartbeats that bring no change, by machine. */
   private readonly unchanged = new Map<string, UnchangedHeartbeat>();
-  /** Workers whose newest heartbeat the leader needs in full. */
+  /** Workers whose newest heartbeat the leader needs in full, by machine. */
   private readonly changed = new Map<string, ServedWorker>();
   private sequence = 0;
   private lastGrantIssuedAtMs = 0;
@@ -41,7 +42,7 @@
 
   constructor(private readonly context: HeartbeatUpdatesContext) {}
 
-  /** A new term: numbers begin anew, and its leader has issued nothing yet. */
+  /** Starts a new term: sequence numbers restart, and the new leader has issued no grant yet. */
   beginTerm(): void {
     this.lastGrantIssuedAtMs = 0;
     this.lastResyncIssuedAtMs = 0;
@@ -49,51 +50,51 @@
     this.unchanged.clear();
   }
 
-  /** A grant that the leader issued at that time on its own clock has been received. */
-  noteGrant(issuedAtMs: number): void {
+  /** Records the receipt of a grant, which the leader issued at `issuedAtMs` on its own clock. */
+  recordGrant(issuedAtMs: number): void {
     this.lastGrantIssuedAtMs = Math.max(this.lastGrantIssuedAtMs, issuedAtMs);
   }
 
-  /** A grant issued at that time asks for a resync; false: that one or a later one is carried out already. */
-  noteResync(issuedAtMs: number): boolean {
+  /** Accepts the resync that a grant requests; returns false if this or a later one has been carried out already. */
+  acceptResync(issuedAtMs: number): boolean {
     if (issuedAtMs <= this.lastResyncIssuedAtMs) return false;
     this.lastResyncIssuedAtMs = issuedAtMs;
     return true;
   }
 
-  /** Is a heartbeat of that machine waiting to be sent in full? */
-  isChanged(machine: string): boolean {
+  /** Whether a heartbeat of the machine is waiting to be sent in full. */
+  hasPendingChange(machine: string): boolean {
     return this.changed.has(machine);
   }
 
-  /** A heartbeat was acknowledged that says nothing new. */
+  /** Adds an acknowledged heartbeat that brings no change. */
   addUnchanged({ machine, epoch, tick }: Heartbeat): void {
     this.unchanged.set(machine, { machine, epoch, tick });
   }
 
-  /** A heartbeat was acknowledged that the leader needs in full. */
+  /** Adds an acknowledged heartbeat that the leader needs in full. */
   addChanged(worker: ServedWorker): void {
     const { machine } = worker.heartbeat;
     this.unchanged.delete(machine);
     this.changed.set(machine, worker);
   }
 
-  /** Sends the workers' heartbeats in full once more; what is known of them as unchanged goes out beside that. */
+  /** Queues the workers' heartbeats to be sent in full again; their queued unchanged heartbeats are still sent as well. */
   resync(workers: Iterable<ServedWorker>): void {
     for (const worker of workers) this.changed.set(worker.heartbeat.machine, worker);
   }
 
-  /** Takes all that has been added, as the updates that have to be sent now, in their order; at least one. */
-  take(term: number, workerCount: number, nowMs: number): HeartbeatServerUpdate[] {
+  /** Removes all queued heartbeats, and returns them as at least one update, in the order in which to send them. */
+  takeUpdates(term: number, workerCount: number, nowMs: number): HeartbeatServerUpdate[] {
     const parts = this.takeChanged(nowMs);
     const unchanged = [...this.unchanged.values()];
     this.unchanged.clear();
     const cancellations = this.context.cancellations.nextUpdate(nowMs);
     const updates: HeartbeatServerUpdate[] = [];
     for (const heartbeats of parts) {
-      // The leader may take the batch for known only once it has the last part.
+      // The leader may consider the batch known only once it has received the last part.
       const isLast = updates.length === parts.length - 1;
-      const named = isLast ? cancellations : NO_CANCELLATIONS;
+      const cancellationUpdate = isLast ? cancellations : NO_CANCELLATIONS;
       updates.push({
         kind: "heartbeat server update",
         from: this.context.node,
@@ -107,15 +108,15 @@
         lagMs: Math.round(this.context.lagMs()),
         unchanged: isLast ? unchanged : [],
         heartbeats,
-        cancellations: named.cancellations,
-        cancellationSeq: named.cancellationSeq,
-        cancellationsComplete: named.cancellationsComplete,
+        cancellations: cancellationUpdate.cancellations,
+        cancellationSeq: cancellationUpdate.cancellationSeq,
+        cancellationsComplete: cancellationUpdate.cancellationsComplete,
       });
     }
     return updates;
   }
 
-  /** The heartbeats to be sent in full, in parts that each fit into a frame; at least one part. */
+  /** Removes the heartbeats to be sent in full, and returns them as at least one part, each of which fits into a frame. */
   private takeChanged(nowMs: number): ReceivedHeartbeat[][] {
     let part: ReceivedHeartbeat[] = [];
     const parts = [part];
--- a/src/coordination/heartbeats/servedWorkers.ts
+++ b/src/coordination/heartbeats/servedWorkers.ts
@@ -1,16 +1,17 @@
-/** What a heartbeat server knows of the workers that send it their heartbeats. */
+/** Tracks the workers that send their heartbeats to a heartbeat server. */
 import type { Heartbeat } from "../../protocol/model.js";
 
-/** A worker without a heartbeat for so long is forgotten here; the leader keeps more. */
+/** A worker is removed after this long without a heartbeat; the leader keeps workers for longer. */
 const FORGET_AFTER_MS = 60_000;
-/** A worker counts as served here if its last heartbeat is no older than so many times their interval. */
+/** A worker counts as served here if its last heartbeat is younger than this many heartbeat intervals. */
 const COUNTED_WITHIN_HEARTBEATS = 2.5;
-/** A resync names the workers whose last heartbeat is no older than so many times their interval. */
+/** A resync includes the workers whose last heartbeat is younger than this many heartbeat intervals. */
 const RESYNC_WITHIN_HEARTBEATS = 4;
 
-/** The newest heartbeat that was acknowledged here of a worker. */
+/** The newest heartbeat of a worker that was acknowledged here. */
 export interface ServedWorker {
   readonly heartbeat: Heartbeat;
+  /** When the heartbeat was received, in steady time. */
   readonly receivedMs: number;
 }
 
@@ -20,33 +21,33 @@
   private count = 0;
 
   constructor(
-    /** Workers' time between heartbeats, in seconds. */
+    /** Interval between a worker's heartbeats, in seconds. */
     private readonly heartbeatS: number,
   ) {}
 
-  /** Workers that sent heartbeats lately, counted at the last `expire`. */
+  /** Number of workers with a recent heartbeat, as of the last call of `expire`. */
   get workerCount(): number {
     return this.count;
   }
 
-  /** The newest acknowledged heartbeat of that machine's worker. */
+  /** The newest acknowledged heartbeat of the machine's worker. */
   get(machine: string): Heartbeat | undefined {
     return this.workers.get(machine)?.heartbeat;
   }
 
-  /** Keeps a heartbeat that has just been acknowledged as its worker's newest. */
+  /** Stores a heartbeat that has just been acknowledged as its worker's newest. */
   record(heartbeat: Heartbeat, nowMs: number): ServedWorker {
     const worker: ServedWorker = { heartbeat, receivedMs: nowMs };
     this.workers.set(heartbeat.machine, worker);
     return worker;
   }
 
-  /** The worker has been redirected to another controller. */
+  /** Removes a worker that has been redirected to another controller. */
   forget(machine: string): void {
     this.workers.delete(machine);
   }
 
-  /** Forgets workers that are silent for long, and counts the others. */
+  /** Removes workers without a heartbeat for a long time, and counts those with a recent one. */
   expire(nowMs: number): void {
     const countedWithinMs = COUNTED_WITHIN_HEARTBEATS * 1000 * this.heartbeatS;
     this.count = 0;
@@ -57,8 +58,8 @@
     }
   }
 
-  /** The workers that a leader without knowledge of them has to be sent in full. */
-  *forResync(nowMs: number): Iterable<ServedWorker> {
+  /** The workers whose heartbeats a leader that does not know them must be sent in full. */
+  *workersToResync(nowMs: number): Iterable<ServedWorker> {
     const withinMs = RESYNC_WITHIN_HEARTBEATS * 1000 * this.heartbeatS;
     for (const worker of this.workers.values()) if (nowMs - worker.receivedMs < withinMs) yield worker;
   }
--- a/src/coordination/heartbeats/workerBalancer.ts
+++ b/src/coordination/heartbeats/workerBalancer.ts
@@ -1,104 +1,113 @@
 /**
- * Spreads workers over the controllers that serve them: which worker is redirected, and to which controller. The choice is
- * a pure function (`chooseServer`); the balancer limits how fast workers move and avoids controllers that they don't reach.
+ * Balances workers over the controllers that serve them: decides which worker is redirected, and to which controller. The
+ * choice is a pure function (`chooseServer`); the balancer limits the rate of redirects, and avoids controllers that
+ * workers cannot reach.
  */
 import type { Heartbeat } from "../../protocol/model.js";
 import type { Grant } from "../../protocol/peers/messages.js";
 
-/** The leader has other work: of a controller's share of the workers it takes this part, and less as its term begins. */
+/** Fraction of a controller's fair share of the workers that the leader takes, because it has other work to do. */
 const LEADER_SHARE = 0.5;
+/** Fraction of a controller's fair share of the workers that a leader takes at the beginning of its term. */
 const NEW_LEADER_SHARE = 0.1;
-/** A controller with fewer workers than this is sent one at a time: perhaps they don't reach it. */
+/** Redirects to a controller with fewer workers than this are spaced out, because workers may be unable to reach it. */
 const FEW_WORKERS = 5;
+/** Minimum time between redirects to a controller with few workers. */
 const FEW_WORKERS_INTERVAL_MS = 250;
-/** Workers that are known here, and so are redirected for balance alone, are redirected this far apart. */
+/** Minimum time between redirects of workers that this controller already serves, which move only for balance. */
 const KNOWN_WORKER_INTERVAL_MS = 30;
 /** The shortest time that a worker waits for a response before it tries another controller. */
 const WORKER_TIMEOUT_MS = 3500;
-/** A worker that is back within so many of these times did not reach the controller; after more it says nothing. */
+/** A worker that returns within this many timeouts did not reach the controller; a later return proves nothing. */
 const UNREACHED_WITHIN_TIMEOUTS = 4;
+/** A redirect is forgotten after this many timeouts. */
 const FORGET_AFTER_TIMEOUTS = 5;
-/** A controller that a worker did not reach is sent none for so long. */
-const UNREACHABLE_MS = 20_000;
+/** No worker is redirected to a controller for this long after a worker did not reach it. */
+const UNREACHABLE_PERIOD_MS = 20_000;
 
-/** A controller that lags by more than this redirects workers to those that keep up, and is redirected none. */
+/** A controller with more event loop lag than this is slow: it redirects workers to others, and receives none. */
 const SLOW_LAG_MS = 400;
-/** A slow controller redirects only to one that is so many times faster. */
-const FASTER_BY = 3;
+/** A slow controller redirects workers only if its lag is at least this many times the target's lag. */
+const MIN_LAG_RATIO = 3;
 /**
- * A controller has too many workers when they exceed its fair share by this factor and that number. New workers are
- * redirected early, for they have to be served somewhere anyway; known ones only when others were away.
+ * A controller has too many workers if they exceed its fair share times `factor`, plus `workers`. New workers are
+ * redirected early, because they have to connect to some controller anyway; known workers only at a large imbalance, such
+ * as after an outage of other controllers.
  */
 const NEW_WORKER_EXCESS = { factor: 1.1, workers: 3 };
 const KNOWN_WORKER_EXCESS = { factor: 1.5, workers: 10 };
-/** A controller is redirected workers only while it has less than this part of its fair share. */
-const ROOM_FACTOR = 0.97;
+/** Workers are redirected to a controller for balance only while it has less than this fraction of its fair share. */
+const MAX_TARGET_LOAD_FACTOR = 0.97;
 
-/** A controller that serves workers: its name, how many workers it has, its event loop's lag. */
+/** The load of a controller that serves workers: its name, number of workers and event loop lag. */
 type ServerLoad = Grant["servers"][number];
 
-/** What decides, beside the servers, which controller should serve a worker. */
-export interface BalancingFacts {
-  /** A heartbeat of the worker has been acknowledged here before. */
+/** The state, in addition to the server list, that decides which controller should serve a worker. */
+export interface BalancingInput {
+  /** Whether this controller has acknowledged a heartbeat of the worker before. */
   isKnown: boolean;
+  /** Name of the leader, or null if it is unknown. */
   leader: string | null;
-  leaderIsNew: boolean;
-  /** This controller's event loop's lag. */
+  /** Whether the leader's term has just begun. */
+  isLeaderNew: boolean;
+  /** Event loop lag of this controller, in milliseconds. */
   lagMs: number;
   nowMs: number;
 }
 
-/** What the choice of a controller is made from. */
-export interface ServerChoice {
+/** The input of `chooseServer`. */
+export interface ServerChoiceInput {
   /** Name of this controller. */
   node: string;
+  /** Name of the leader, or null if it is unknown. */
   leader: string | null;
-  /** The part that the leader takes of a controller's share of the workers. */
+  /** Fraction of a controller's fair share of the workers that the leader takes. */
   leaderShare: number;
-  /** This controller's event loop's lag. */
+  /** Event loop lag of this controller, in milliseconds. */
   lagMs: number;
-  /** The worker is served here already. */
+  /** Whether this controller already serves the worker. */
   isKnown: boolean;
-  /** This controller among them. */
+  /** The controllers that serve workers, including this one. */
   servers: ServerLoad[];
-  /** The worker's. */
+  /** Zone of the worker. */
   zone: string;
+  /** Returns the zone of a controller, or an empty string if it is unknown. */
   zoneOf: (node: string) => string;
 }
 
-/** Owns what this controller knows of the others as places for workers, and which workers it has redirected. */
+/** Owns this controller's view of the load and reachability of the others, and the workers that it has redirected. */
 export class WorkerBalancer {
   private servers: ServerLoad[] = [];
-  /** Workers that are known here are redirected from then on. */
-  private nextKnownWorkerMs = -Infinity;
-  /** Workers are redirected to a controller with few workers from then on. */
-  private nextToFewMs = -Infinity;
-  /** Where workers were redirected to, and when. */
+  /** Steady time from which the next known worker may be redirected. */
+  private nextKnownWorkerRedirectMs = -Infinity;
+  /** Steady time from which the next worker may be redirected to a controller with few workers. */
+  private nextFewWorkersRedirectMs = -Infinity;
+  /** Target and time of the last redirect of each worker, by machine. */
   private readonly redirected = new Map<string, { to: string; atMs: number }>();
-  /** Controllers that redirected workers did not reach, and until when none is redirected there. */
+  /** Controllers that redirected workers did not reach, and until when no worker is redirected there. */
   private readonly unreachable = new Map<string, number>();
 
   constructor(
     private readonly node: string,
-    /** Each controller's zone, ours included. */
+    /** Zone by name of each controller, including this one. */
     private readonly zones: ReadonlyMap<string, string>,
   ) {}
 
-  /** Sets the controllers that serve workers at present. */
+  /** Sets the controllers that currently serve workers. */
   setServers(servers: ServerLoad[]): void {
     this.servers = servers;
   }
 
-  /** Another controller that this worker should go to, counted as redirected there; null: it stays. */
-  redirectTarget(heartbeat: Heartbeat, facts: BalancingFacts): string | null {
-    const { nowMs, isKnown } = facts;
-    // A redirect costs a heartbeat: known workers are moved a few at a time.
-    if (isKnown && nowMs < this.nextKnownWorkerMs) return null;
+  /** Chooses the controller to redirect a worker to, and records the redirect; null if the worker stays. */
+  redirectTarget(heartbeat: Heartbeat, input: BalancingInput): string | null {
+    const { nowMs, isKnown } = input;
+    // A redirect costs the worker a heartbeat, so known workers are moved only a few at a time.
+    if (isKnown && nowMs < this.nextKnownWorkerRedirectMs) return null;
     const to = chooseServer({
       node: this.node,
-      leader: facts.leader,
-      leaderShare: facts.leaderIsNew ? NEW_LEADER_SHARE : LEADER_SHARE,
-      lagMs: facts.lagMs,
+      leader: input.leader,
+      leaderShare: input.isLeaderNew ? NEW_LEADER_SHARE : LEADER_SHARE,
+      lagMs: input.lagMs,
       isKnown,
       servers: this.reachableServers(nowMs),
       zone: heartbeat.zone,
@@ -106,30 +115,31 @@
     });
     if (to === null) return null;
     if (this.workersAt(to) < FEW_WORKERS) {
-      if (nowMs < this.nextToFewMs) return null;
-      this.nextToFewMs = nowMs + FEW_WORKERS_INTERVAL_MS;
+      if (nowMs < this.nextFewWorkersRedirectMs) return null;
+      this.nextFewWorkersRedirectMs = nowMs + FEW_WORKERS_INTERVAL_MS;
     }
-    if (isKnown) this.nextKnownWorkerMs = nowMs + KNOWN_WORKER_INTERVAL_MS;
-    this.noteRedirect(heartbeat.machine, to, nowMs);
+    if (isKnown) this.nextKnownWorkerRedirectMs = nowMs + KNOWN_WORKER_INTERVAL_MS;
+    this.recordRedirect(heartbeat.machine, to, nowMs);
     return to;
   }
 
   /**
-   * A worker's heartbeat has arrived; perhaps it was redirected and is back. A controller with a grant that is cut off from
-   * the workers alone has ever fewer of them: the lightest, to which everybody would redirect theirs, to wait there for a
-   * response while their leases run out. A worker that is back after such a wait has not reached it.
+   * Checks on a heartbeat whether a redirected worker has returned. A controller that has a grant but cannot be reached by
+   * workers loses them, becomes the least loaded, and would attract the redirects of all others; the redirected workers'
+   * leases would expire while they wait for its response. A worker that returns after such a wait did not reach the
+   * controller, which is then treated as unreachable for a while.
    */
-  noteReturn(machine: string, nowMs: number): void {
+  detectReturn(machine: string, nowMs: number): void {
     const redirect = this.redirected.get(machine);
     if (!redirect) return;
     this.redirected.delete(machine);
     const awayMs = nowMs - redirect.atMs;
     if (awayMs > WORKER_TIMEOUT_MS && awayMs < UNREACHED_WITHIN_TIMEOUTS * WORKER_TIMEOUT_MS)
-      this.unreachable.set(redirect.to, nowMs + UNREACHABLE_MS);
+      this.unreachable.set(redirect.to, nowMs + UNREACHABLE_PERIOD_MS);
   }
 
-  /** Forgets redirects so long ago that the workers' return would say nothing. */
-  forgetOld(nowMs: number): void {
+  /** Removes redirects that are too old for the worker's return to prove anything. */
+  expireRedirects(nowMs: number): void {
     for (const [machine, redirect] of this.redirected)
       if (nowMs - redirect.atMs > FORGET_AFTER_TIMEOUTS * WORKER_TIMEOUT_MS) this.redirected.delete(machine);
   }
@@ -138,8 +148,8 @@
     return this.servers.find((server) => server.node === node)?.machines ?? 0;
   }
 
-  /** Until the next grant brings new numbers, the redirected workers are counted here. */
-  private noteRedirect(machine: string, to: string, nowMs: number): void {
+  /** Records a redirect, and adjusts the worker counts until the next grant brings new ones. */
+  private recordRedirect(machine: string, to: string, nowMs: number): void {
     this.redirected.set(machine, { to, atMs: nowMs });
     for (const server of this.servers) {
       if (server.node === to) server.machines++;
@@ -162,56 +172,59 @@
 }
 
 /**
- * The controller that a worker should go to; null: it stays here. New workers go where there is room as soon as this
- * controller has a little more than its share; known ones when it has far more (the others may have been away), or when it
- * lags and another one does not. Pure.
+ * Chooses the controller that a worker should be redirected to, or null if it stays here. New workers are redirected to a
+ * controller with room as soon as this one slightly exceeds its fair share. Known workers are redirected when it far
+ * exceeds its share, since other controllers may have been down. All workers are redirected when this controller lags and
+ * another one does not. The function is pure.
  */
-export function chooseServer(choice: ServerChoice): string | null {
-  // Workers stay in their own zone where it has controllers, so that a partition between zones separates none from its
-  // controller.
-  const inZone = choice.servers.filter((server) => choice.zoneOf(server.node) === choice.zone);
-  const candidates = inZone.length > 0 ? inZone : choice.servers;
-  const lightest = lightestOther(candidates, choice);
-  if (!lightest) return null;
-  const isInOtherZone = inZone.length > 0 && choice.zoneOf(choice.node) !== choice.zone;
-  if (isInOtherZone) return lightest.node;
-  const own = candidates.find((server) => server.node === choice.node);
+export function chooseServer(input: ServerChoiceInput): string | null {
+  // Workers are served in their own zone if it has controllers, so that a partition between zones separates no worker
+  // from its controller.
+  const inZone = input.servers.filter((server) => input.zoneOf(server.node) === input.zone);
+  const candidates = inZone.length > 0 ? inZone : input.servers;
+  const leastLoaded = leastLoadedOther(candidates, input);
+  if (!leastLoaded) return null;
+  const isInOtherZone = inZone.length > 0 && input.zoneOf(input.node) !== input.zone;
+  if (isInOtherZone) return leastLoaded.node;
+  const own = candidates.find((server) => server.node === input.node);
   if (!own) return null;
-  if (choice.lagMs > SLOW_LAG_MS) return choice.lagMs >= lightest.lagMs * FASTER_BY ? lightest.node : null;
-  const wholeShare = wholeShareOf(candidates, choice);
-  const ownShare = wholeShare * shareOf(own.node, choice);
-  const excess = choice.isKnown ? KNOWN_WORKER_EXCESS : NEW_WORKER_EXCESS;
+  if (input.lagMs > SLOW_LAG_MS)
+    return input.lagMs >= leastLoaded.lagMs * MIN_LAG_RATIO ? leastLoaded.node : null;
+  const fullShare = fullShareOf(candidates, input);
+  const ownShare = fullShare * shareOf(own.node, input);
+  const excess = input.isKnown ? KNOWN_WORKER_EXCESS : NEW_WORKER_EXCESS;
   const hasTooMany = own.machines > ownShare * excess.factor + excess.workers;
-  const hasRoom = lightest.machines < wholeShare * shareOf(lightest.node, choice) * ROOM_FACTOR;
-  return hasTooMany && hasRoom ? lightest.node : null;
+  const hasRoom =
+    leastLoaded.machines < fullShare * shareOf(leastLoaded.node, input) * MAX_TARGET_LOAD_FACTOR;
+  return hasTooMany && hasRoom ? leastLoaded.node : null;
 }
 
-/** The other controller that keeps up and has the fewest workers for its share. */
-function lightestOther(candidates: ServerLoad[], choice: ServerChoice): ServerLoad | null {
-  let lightest: ServerLoad | null = null;
-  let lightestLoad = Infinity;
+/** The controller with the fewest workers relative to its share, among the others that are not slow. */
+function leastLoadedOther(candidates: ServerLoad[], input: ServerChoiceInput): ServerLoad | null {
+  let leastLoaded: ServerLoad | null = null;
+  let lowestLoad = Infinity;
   for (const server of candidates) {
-    if (server.node === choice.node || server.lagMs > SLOW_LAG_MS) continue;
-    const load = server.machines / shareOf(server.node, choice);
-    if (lightest && load >= lightestLoad) continue;
-    lightest = server;
-    lightestLoad = load;
+    if (server.node === input.node || server.lagMs > SLOW_LAG_MS) continue;
+    const load = server.machines / shareOf(server.node, input);
+    if (leastLoaded && load >= lowestLoad) continue;
+    leastLoaded = server;
+    lowestLoad = load;
   }
-  return lightest;
+  return leastLoaded;
 }
 
-/** The part of a controller's share of the workers that this one takes. */
-function shareOf(node: string, choice: ServerChoice): number {
-  return node === choice.leader ? choice.leaderShare : 1;
+/** Fraction of a fair share of the workers that a controller takes. */
+function shareOf(node: string, input: ServerChoiceInput): number {
+  return node === input.leader ? input.leaderShare : 1;
 }
 
-/** How many workers a controller has that takes a whole share, when they are spread evenly. */
-function wholeShareOf(candidates: ServerLoad[], choice: ServerChoice): number {
+/** Number of workers in a full share when all workers are spread evenly. */
+function fullShareOf(candidates: ServerLoad[], input: ServerChoiceInput): number {
   let workers = 0;
   let shares = 0;
   for (const server of candidates) {
     workers += server.machines;
-    shares += shareOf(server.node, choice);
+    shares += shareOf(server.node, input);
   }
   return workers / shares;
 }
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -10,7 +10,7 @@
 import type { CycleRequests } from "../term/cycleRequests.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { TermLease } from "../term/termLease.js";
-import { isLateCopy } from "../heartbeats/heartbeatComparison.js";
+import { isStaleOrDuplicate } from "../heartbeats/heartbeatComparison.js";
 import type { Cordon } from "./cordon.js";
 import type { Reconciliation } from "./reconciliation.js";
 
@@ -100,7 +100,7 @@
    * it is newer than the last one applied.
    */
   apply(machine: Machine, heartbeat: Heartbeat, nowMs: number): boolean {
-    if (isLateCopy(machine, heartbeat)) return false;
+    if (isStaleOrDuplicate(machine, heartbeat)) return false;
     if (heartbeat.epoch > machine.epoch) beginEpoch(machine, heartbeat.epoch, nowMs);
     machine.tick = heartbeat.tick;
     machine.seenToken = heartbeat.fencingToken;
--- a/test/acknowledgementLimits.test.ts
+++ b/test/acknowledgementLimits.test.ts
@@ -4,9 +4,13 @@
 import { AcknowledgementLimits } from "../src/coordination/heartbeats/acknowledgementLimits.js";
 import type { JobSpec } from "../src/protocol/model.js";
 
-test("a machine whose cancelled task stays is quarantined in time; before that its zone is limited, and others go on", () => {
+test("a cancelled task limits its machine's zone, and its machine is quarantined before a grant could outlast the limit", () => {
   const limits = new AcknowledgementLimits({ cancelS: 37, leaseS: 12, clockErrorMs: 25 });
-  assert.equal(limits.untilMs, -Infinity, "nothing is acknowledged before the records are read");
+  assert.equal(
+    limits.acknowledgeUntilMs,
+    -Infinity,
+    "nothing may be acknowledged before the records have been read",
+  );
   const machine = (name: string, zone: string): Machine => new Machine(name, zone, 1, 0);
   const [first, second] = [machine("m1", "a"), machine("m2", "b")];
   const job = (cancelledAt: Date | null, ...machines: Machine[]): Job => {
@@ -22,17 +26,30 @@
     quarantined: string[],
     zoneLimitsMs: [first: number, second: number],
   ][] = [
-    ["nothing is cancelled", [job(null, first, second)], [], [123_960, 123_960]],
-    ["just now", [job(ago(0), first)], [], [123_910, 123_960]],
-    ["ten seconds ago", [job(ago(10), first), job(ago(1), first)], [], [113_910, 123_960]],
-    ["a grant could outlast it", [job(ago(21.5), first, second)], ["m1", "m2"], [123_960, 123_960]],
-    ["long ago", [job(ago(100), second), job(ago(3), first)], ["m2"], [120_910, 123_960]],
-    ["its tasks are gone", [job(ago(100))], [], [123_960, 123_960]],
+    ["no job is cancelled", [job(null, first, second)], [], [123_960, 123_960]],
+    ["a job was cancelled just now", [job(ago(0), first)], [], [123_910, 123_960]],
+    [
+      "the earliest cancellation was ten seconds ago",
+      [job(ago(10), first), job(ago(1), first)],
+      [],
+      [113_910, 123_960],
+    ],
+    ["a grant could outlast the limit", [job(ago(21.5), first, second)], ["m1", "m2"], [123_960, 123_960]],
+    [
+      "one job was cancelled long ago",
+      [job(ago(100), second), job(ago(3), first)],
+      ["m2"],
+      [120_910, 123_960],
+    ],
+    ["the cancelled job has no tasks left", [job(ago(100))], [], [123_960, 123_960]],
   ];
   for (const [name, jobs, quarantined, zoneLimitsMs] of cases) {
     limits.update(100_000, jobs, 100_000, wallTime);
     assert.deepEqual(limits.quarantined, quarantined, name);
     for (const [index, zone] of ["a", "b"].entries())
-      assert.ok(Math.abs(limits.zoneUntilMs(zone) - zoneLimitsMs[index]!) < 10, `${name}: ${zone}`);
+      assert.ok(
+        Math.abs(limits.zoneAcknowledgeUntilMs(zone) - zoneLimitsMs[index]!) < 10,
+        `${name}: ${zone}`,
+      );
   }
 });
--- a/test/confirmedCancellations.test.ts
+++ b/test/confirmedCancellations.test.ts
@@ -2,7 +2,7 @@
 import test from "node:test";
 import { ConfirmedCancellations } from "../src/coordination/heartbeats/confirmedCancellations.js";
 
-test("confirmed cancellations are sent until the leader has them, to each leader anew, and for a limited time", () => {
+test("confirmed cancellations are sent until the leader acknowledges them, again to each new leader, and then expire", () => {
   const confirmed = new ConfirmedCancellations(60_000);
   const cancelledAt = new Date(5);
   assert.deepEqual(
@@ -23,16 +23,20 @@
   confirmed.acknowledgeUpTo(2);
   assert.deepEqual([idsSent(50), confirmed.nextUpdate(50).cancellationSeq], [[], 2]);
   confirmed.beginTerm();
-  assert.deepEqual(idsSent(60), ["job-1", "job-2"], "the next leader");
+  assert.deepEqual(idsSent(60), ["job-1", "job-2"], "a new leader is sent all of them");
   confirmed.expire(60_005);
-  assert.deepEqual(idsSent(60_005), ["job-2"], "leases of those that do not know it have expired by then");
+  assert.deepEqual(idsSent(60_005), ["job-2"], "an entry is dropped after its retention time");
   for (let number = 10; number < 5000; number++) confirmed.add(`job-${number}`, cancelledAt, 61_000);
-  assert.equal(confirmed.nextUpdate(61_000).cancellationsComplete, false, "more than a frame holds");
+  assert.equal(
+    confirmed.nextUpdate(61_000).cancellationsComplete,
+    false,
+    "more entries than one update holds",
+  );
   confirmed.acknowledgeUpTo(confirmed.nextUpdate(61_000).cancellationSeq + 10_000);
   assert.deepEqual(
     [confirmed.nextUpdate(61_000).cancellations, confirmed.nextUpdate(61_000).cancellationsComplete],
     [[], false],
-    "some were dropped before they were sent",
+    "entries were dropped before they were sent",
   );
   confirmed.expire(200_000);
   assert.equal(confirmed.nextUpdate(200_000).cancellationsComplete, true);
--- a/test/heartbeatDecision.test.ts
+++ b/test/heartbeatDecision.test.ts
@@ -4,7 +4,7 @@
   AcknowledgementRights,
   type HeartbeatServerLimits,
 } from "../src/coordination/heartbeats/acknowledgementRights.js";
-import { decideOnHeartbeat, type ServedTerm } from "../src/coordination/heartbeats/heartbeatDecision.js";
+import { decideOnHeartbeat, type CurrentTerm } from "../src/coordination/heartbeats/heartbeatDecision.js";
 import { firstFencingToken } from "../src/coordination/term/fencingTokens.js";
 import type { Heartbeat } from "../src/protocol/model.js";
 import type { Grant } from "../src/protocol/peers/messages.js";
@@ -16,7 +16,7 @@
 const ACKNOWLEDGE = { kind: "acknowledge", byZoneLease: false };
 const ACKNOWLEDGE_BY_ZONE_LEASE = { kind: "acknowledge", byZoneLease: true };
 const NO_RIGHT = { kind: "refuse", reason: "no right to acknowledge" };
-const LATE_COPY = { kind: "refuse", reason: "late copy" };
+const STALE_OR_DUPLICATE = { kind: "refuse", reason: "stale or duplicate" };
 const QUARANTINED = { kind: "refuse", reason: "quarantined" };
 const DEPOSED = { kind: "deposed" };
 const TO_LEADER = { kind: "redirect", to: "n0" };
@@ -37,7 +37,7 @@
   };
 }
 
-/** A grant that has ended (clocks may differ a little) so many milliseconds ago; negative: it still lasts. */
+/** A grant that ended `agoMs` ago, after an allowance for clock drift; a negative value means that it is still valid. */
 function grantEnded(agoMs: number, change: Partial<Grant> = {}): Grant {
   const durationMs = 2000;
   return {
@@ -64,7 +64,7 @@
   return rights;
 }
 
-/** A leader whose lease ends so much later, with limits that end so much later. */
+/** The rights of a leader whose lease ends `leaseMs` from now, with the given limits. */
 function leader(leaseMs: number, limits: Partial<HeartbeatServerLimits> = {}): AcknowledgementRights {
   const rights = new AcknowledgementRights(OWN_ZONE);
   rights.setLease({
@@ -76,7 +76,7 @@
   });
   rights.applyLimits({
     term: TERM,
-    untilMs: NOW_MS + 9000,
+    acknowledgeUntilMs: NOW_MS + 9000,
     zoneLeaseUntilMs: -Infinity,
     quarantined: [],
     cancellationSeq: 0,
@@ -85,39 +85,44 @@
   return rights;
 }
 
-/** The only right left is the zone lease; the last one for all zones ended so long ago. */
+/** The rights of a follower that has only its zone lease left; its last grant for all zones ended `endedAgoMs` ago. */
 function underZoneLease(endedAgoMs: number): AcknowledgementRights {
   return follower(grantEnded(endedAgoMs, { zoneDurationMs: 20_000 }));
 }
 
 describe("a heartbeat", () => {
-  const served: ServedTerm = { node: "n1", term: TERM, leader: "n0", sinceMs: 0 };
+  const currentTerm: CurrentTerm = { node: "n1", term: TERM, leader: "n0", firstSeenMs: 0 };
   const granted = follower(grantEnded(-1000));
-  const withNeighbour = underZoneLease(5000);
-  withNeighbour.noteNeighbourIsolated(NOW_MS - 1599);
-  const withSilentNeighbour = underZoneLease(5000);
-  withSilentNeighbour.noteNeighbourIsolated(NOW_MS - 1600);
+  const withIsolatedPeer = underZoneLease(5000);
+  withIsolatedPeer.recordZonePeerIsolated(NOW_MS - 1599);
+  const withExpiredAnnouncement = underZoneLease(5000);
+  withExpiredAnnouncement.recordZonePeerIsolated(NOW_MS - 1600);
   const cases: {
     name: string;
     rights: AcknowledgementRights;
     heartbeat?: Partial<Heartbeat>;
     known?: Partial<Heartbeat>;
-    served?: Partial<ServedTerm>;
+    term?: Partial<CurrentTerm>;
     decision: object;
   }[] = [
     { name: "is acknowledged under a grant", rights: granted, decision: ACKNOWLEDGE },
     {
-      name: "is acknowledged when a newer one than the known",
+      name: "is acknowledged when it is newer than the known one",
       rights: granted,
       known: { tick: 8 },
       decision: ACKNOWLEDGE,
     },
-    { name: "is refused when it is known already", rights: granted, known: {}, decision: LATE_COPY },
+    {
+      name: "is refused when it duplicates the known one",
+      rights: granted,
+      known: {},
+      decision: STALE_OR_DUPLICATE,
+    },
     {
       name: "is refused when a newer one is known",
       rights: granted,
       known: { epoch: 3, tick: 1 },
-      decision: LATE_COPY,
+      decision: STALE_OR_DUPLICATE,
     },
     {
       name: "is refused when its machine is quarantined",
@@ -125,119 +130,128 @@
       decision: QUARANTINED,
     },
     {
-      name: "deposes us when it shows a later term's token, whatever else holds",
+      name: "deposes this controller when it carries a later term's token, even as a duplicate from a quarantined machine",
       rights: follower(grantEnded(-1000, { quarantined: ["host-1"] })),
       heartbeat: { fencingToken: firstFencingToken(TERM + 1) },
       known: {},
       decision: DEPOSED,
     },
     {
-      name: "does not depose us when it shows our own term's last token",
+      name: "does not depose this controller when it carries the last token of the current term",
       rights: granted,
       heartbeat: { fencingToken: firstFencingToken(TERM + 1) - 1 },
       decision: ACKNOWLEDGE,
     },
     {
-      name: "is refused before the first grant of a young term",
+      name: "is refused before the first grant of a term that began recently",
       rights: follower(),
-      served: { sinceMs: NOW_MS - 2499 },
+      term: { firstSeenMs: NOW_MS - 2499 },
       decision: NO_RIGHT,
     },
     {
-      name: "is redirected to the leader of an older term",
+      name: "is redirected to the leader of a term that has long been without a grant",
       rights: follower(),
-      served: { sinceMs: NOW_MS - 2500 },
+      term: { firstSeenMs: NOW_MS - 2500 },
       decision: TO_LEADER,
     },
     {
-      name: "is refused a moment after the last grant",
+      name: "is refused shortly after the last grant ended",
       rights: follower(grantEnded(2499)),
       decision: NO_RIGHT,
     },
-    { name: "is redirected to the leader later on", rights: follower(grantEnded(2501)), decision: TO_LEADER },
-    { name: "is refused without a leader", rights: follower(), served: { leader: null }, decision: NO_RIGHT },
     {
-      name: "is refused when we were the leader",
+      name: "is redirected to the leader long after the last grant ended",
+      rights: follower(grantEnded(2501)),
+      decision: TO_LEADER,
+    },
+    {
+      name: "is refused when the leader is unknown",
+      rights: follower(),
+      term: { leader: null },
+      decision: NO_RIGHT,
+    },
+    {
+      name: "is refused when this controller was the leader",
       rights: follower(),
-      served: { leader: "n1" },
+      term: { leader: "n1" },
       decision: NO_RIGHT,
     },
-    { name: "is acknowledged by the leader's lease", rights: leader(1000), decision: ACKNOWLEDGE },
+    { name: "is acknowledged under the leader's own lease", rights: leader(1000), decision: ACKNOWLEDGE },
     {
-      name: "is refused after the leader's lease",
+      name: "is refused after the leader's own lease ended",
       rights: leader(0),
-      served: { leader: "n1" },
+      term: { leader: "n1" },
       decision: NO_RIGHT,
     },
     {
-      name: "is refused by a leader past what it knows of cancellations",
-      rights: leader(1000, { untilMs: NOW_MS }),
+      name: "is refused by a leader past the limit set by the known cancellations",
+      rights: leader(1000, { acknowledgeUntilMs: NOW_MS }),
       decision: NO_RIGHT,
     },
     {
-      name: "of our own zone is acknowledged by the zone lease, until neighbours can have spoken",
+      name: "from this controller's zone is acknowledged under the zone lease until zone peers have had time to announce isolation",
       rights: underZoneLease(1499),
       decision: ACKNOWLEDGE_BY_ZONE_LEASE,
     },
     {
-      name: "of our own zone is refused when no neighbour has spoken",
+      name: "from this controller's zone is refused when no zone peer has announced isolation in time",
       rights: underZoneLease(1501),
       decision: NO_RIGHT,
     },
     {
-      name: "of our own zone is acknowledged while a neighbour is isolated, too",
-      rights: withNeighbour,
+      name: "from this controller's zone is acknowledged while a zone peer is isolated, too",
+      rights: withIsolatedPeer,
       decision: ACKNOWLEDGE_BY_ZONE_LEASE,
     },
     {
-      name: "of our own zone is redirected when the neighbour's statement is old",
-      rights: withSilentNeighbour,
+      name: "from this controller's zone is redirected when the zone peer's announcement has expired",
+      rights: withExpiredAnnouncement,
       decision: TO_LEADER,
     },
     {
-      name: "of another zone is refused under the zone lease",
+      name: "from another zone is refused under the zone lease",
       rights: underZoneLease(1000),
       heartbeat: { zone: "b" },
       decision: NO_RIGHT,
     },
     {
-      name: "is refused by the zone lease when it is a late copy",
-      rights: withNeighbour,
+      name: "is refused under the zone lease when it is a duplicate",
+      rights: withIsolatedPeer,
       known: {},
-      decision: LATE_COPY,
+      decision: STALE_OR_DUPLICATE,
     },
   ];
   for (const { name, rights, decision, ...change } of cases)
     test(name, () => {
       const known = change.known && heartbeat(change.known);
-      const servedTerm = { ...served, ...change.served };
+      const caseTerm = { ...currentTerm, ...change.term };
       assert.deepEqual(
-        decideOnHeartbeat(heartbeat(change.heartbeat), known, rights, servedTerm, NOW_MS),
+        decideOnHeartbeat(heartbeat(change.heartbeat), known, rights, caseTerm, NOW_MS),
         decision,
       );
     });
 });
 
 describe("a grant", () => {
-  test("counts from its request, a little short for the clocks' drift", () => {
+  test("counts from its request, shortened by the clock drift", () => {
     const rights = follower(grantEnded(0, { requestedAtMs: NOW_MS - 500, zoneDurationMs: 8000 }));
-    assert.equal(rights.untilMs, NOW_MS - 500 + 2000 * 0.999);
-    assert.equal(rights.isIsolated(rights.untilMs), true);
+    assert.equal(rights.acknowledgeUntilMs, NOW_MS - 500 + 2000 * 0.999);
+    assert.equal(rights.isIsolated(rights.acknowledgeUntilMs), true);
     assert.equal(rights.isIsolated(NOW_MS - 500 + 8000 * 0.999), false);
   });
 
-  test("is not used when its request is unknown or long ago", () => {
+  test("is ignored when its request lies in the future or is too old", () => {
     for (const requestedAtMs of [NOW_MS + 1, NOW_MS - 10_001]) {
       const rights = new AcknowledgementRights(OWN_ZONE);
       assert.equal(rights.applyGrant(grantEnded(0, { requestedAtMs }), NOW_MS), false);
-      assert.equal(rights.untilMs, -Infinity);
+      assert.equal(rights.acknowledgeUntilMs, -Infinity);
     }
   });
 
-  test("shortens no earlier one, and is dropped with its term", () => {
+  test("does not shorten an earlier one, and is revoked at the end of its term", () => {
     const rights = follower(grantEnded(-1000), grantEnded(500));
-    assert.ok(Math.abs(rights.untilMs - (NOW_MS + 1000)) < 1e-6);
-    rights.drop();
-    assert.equal(rights.untilMs, -Infinity);
+    assert.ok(Math.abs(rights.acknowledgeUntilMs - (NOW_MS + 1000)) < 1e-6);
+    rights.revokeAll();
+    assert.equal(rights.acknowledgeUntilMs, -Infinity);
   });
 });
--- a/test/heartbeatServerRegistry.test.ts
+++ b/test/heartbeatServerRegistry.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import test from "node:test";
 import {
-  type GrantTerms,
+  type GrantConditions,
   HeartbeatServerRegistry,
 } from "../src/coordination/heartbeats/heartbeatServerRegistry.js";
 import type { HeartbeatServerUpdate } from "../src/protocol/peers/messages.js";
@@ -25,53 +25,54 @@
   cancellationsComplete: true,
 };
 
-/** What a grant may allow, with what a case is about. */
-function grantTerms(
-  about: Pick<GrantTerms, "nowMs" | "acknowledgeUntilMs"> & Partial<GrantTerms>,
-): GrantTerms {
+/** The conditions of a grant: defaults, overridden by the values that a test case sets. */
+function grantConditions(
+  overrides: Pick<GrantConditions, "nowMs" | "acknowledgeUntilMs"> & Partial<GrantConditions>,
+): GrantConditions {
   return {
-    self: { node: "n0", machines: 1, lagMs: 0 },
+    leaderLoad: { node: "n0", machines: 1, lagMs: 0 },
     stateStoreReachable: true,
     zoneDurationMs: 0,
     quarantined: [],
-    ...about,
+    ...overrides,
   };
 }
 
-test("a gap makes acknowledgements unknown, and a grant ends no later than the leader's own right to acknowledge", () => {
+test("a sequence gap makes acknowledgements unknown, and a grant does not outlast the leader's right to acknowledge", () => {
   const registry = new HeartbeatServerRegistry(new Map([["n1", "b"]]), 9000);
   const facts = (): object => ({ ...[...registry.acknowledgementFacts("a", 0)][0] });
   registry.applyUpdate(firstUpdate, 10_000);
   assert.equal(
-    registry.grant(firstUpdate, grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 10_500 }))?.durationMs,
+    registry.createGrant(firstUpdate, grantConditions({ nowMs: 10_000, acknowledgeUntilMs: 10_500 }))
+      ?.durationMs,
     500,
-    "no longer than the lease",
+    "a grant is no longer than the lease",
   );
   assert.equal(
-    registry.grant(firstUpdate, grantTerms({ nowMs: 10_600, acknowledgeUntilMs: 10_500 })),
+    registry.createGrant(firstUpdate, grantConditions({ nowMs: 10_600, acknowledgeUntilMs: 10_500 })),
     null,
-    "none after it",
+    "no grant after the lease",
   );
   registry.applyUpdate({ ...firstUpdate, sequence: 2, lastGrantIssuedAtMs: 10_000 }, 10_400);
-  assert.deepEqual(timesOf(facts()), {
+  assert.deepEqual(acknowledgementTimes(facts()), {
     acknowledgementsKnownUntilMs: 10_000,
     acknowledgementsUnknownBeforeMs: -Infinity,
   });
   registry.applyUpdate({ ...firstUpdate, sequence: 4, lastGrantIssuedAtMs: 10_300 }, 10_700);
   assert.deepEqual(
-    timesOf(facts()),
+    acknowledgementTimes(facts()),
     { acknowledgementsKnownUntilMs: 10_300, acknowledgementsUnknownBeforeMs: 10_700 },
-    "a lost frame",
+    "an update was lost",
   );
   registry.applyUpdate({ ...firstUpdate, incarnation: 6, sequence: 1 }, 10_900);
   assert.deepEqual(
-    timesOf(facts()),
+    acknowledgementTimes(facts()),
     { acknowledgementsKnownUntilMs: 10_300, acknowledgementsUnknownBeforeMs: 10_900 },
-    "a new process",
+    "the process was restarted",
   );
 });
 
-test("a zone lease outlasts a grant; one without an update in this term may hold an earlier leader's", () => {
+test("a zone lease outlasts a grant, and a controller without an update may hold one from an earlier leader", () => {
   const registry = new HeartbeatServerRegistry(
     new Map([
       ["n1", "b"],
@@ -82,30 +83,31 @@
   );
   registry.applyUpdate(firstUpdate, 10_000);
   assert.equal(
-    registry.grant(
+    registry.createGrant(
       firstUpdate,
-      grantTerms({ nowMs: 10_000, acknowledgeUntilMs: 12_000, zoneDurationMs: 9000 }),
+      grantConditions({ nowMs: 10_000, acknowledgeUntilMs: 12_000, zoneDurationMs: 9000 }),
     )?.zoneDurationMs,
     9000,
   );
-  const grantEnds = (zone: string): number[] =>
+  const grantEndsMs = (zone: string): number[] =>
     [...registry.acknowledgementFacts(zone, 7000)].map((facts) => Math.round(facts.grantUntilMs));
-  const grantEnd = 10_000 + 2000 * 1.001 + 10;
-  const cases: [zone: string, wantMs: number[]][] = [
-    // n1's own zone: what it was given; n2, without an update in this term: what an earlier leader can have given it.
+  const grantEndMs = 10_000 + 2000 * 1.001 + 10;
+  const cases: [zone: string, expectedMs: number[]][] = [
+    // In their own zone, n1 has the zone lease that it was granted, and n2, which has sent no update in this term, may
+    // have the longest one of an earlier leader.
     ["b", [10_000 + 9000 * 1.001 + 10, 7000 + 9000 * 1.001]],
-    ["a", [grantEnd, 7000 + 9000 * 1.001]],
+    ["a", [grantEndMs, 7000 + 9000 * 1.001]],
     ["", [10_000 + 9000 * 1.001 + 10, 7000 + 9000 * 1.001, 7000 + 9000 * 1.001]],
-    ["c", [grantEnd]],
+    ["c", [grantEndMs]],
   ];
-  for (const [zone, wantMs] of cases)
-    assert.deepEqual(grantEnds(zone), wantMs.map(Math.round), `zone "${zone}"`);
-  // What it did under an earlier leader is over with its first update of this term, and unknown up to then.
+  for (const [zone, expectedMs] of cases)
+    assert.deepEqual(grantEndsMs(zone), expectedMs.map(Math.round), `zone "${zone}"`);
+  // The first update of this term ends the rights from an earlier leader; acknowledgements before it are unknown.
   assert.equal([...registry.acknowledgementFacts("b", 7000)][0]!.acknowledgementsUnknownBeforeMs, 10_000);
   assert.equal([...registry.acknowledgementFacts("a", 7000)][0]!.acknowledgementsUnknownBeforeMs, -Infinity);
 });
 
-test("a resync is requested until it is carried out, also of a controller that stood still at the first request", () => {
+test("a resync is requested until it is carried out, even if the controller was stalled at the first request", () => {
   const registry = new HeartbeatServerRegistry(new Map([["n1", "a"]]), 0);
   const update = (sequence: number, lastResyncIssuedAtMs: number): HeartbeatServerUpdate => ({
     ...firstUpdate,
@@ -114,8 +116,10 @@
   });
   const requestsResync = (sequence: number, resyncMs: number, nowMs: number): boolean | undefined => {
     registry.applyUpdate(update(sequence, resyncMs), nowMs);
-    return registry.grant(update(sequence, resyncMs), grantTerms({ nowMs, acknowledgeUntilMs: nowMs + 4000 }))
-      ?.resync;
+    return registry.createGrant(
+      update(sequence, resyncMs),
+      grantConditions({ nowMs, acknowledgeUntilMs: nowMs + 4000 }),
+    )?.resync;
   };
   assert.deepEqual(
     [
@@ -129,7 +133,7 @@
   );
 });
 
-test("cancellations are known when they are read, or named by the process that confirmed them", () => {
+test("cancellations are known once they are read, or reported by the process that confirmed them", () => {
   const registry = new HeartbeatServerRegistry(
     new Map([
       ["n1", "a"],
@@ -137,7 +141,7 @@
     ]),
     0,
   );
-  const frame = (
+  const updateFrom = (
     from: string,
     incarnation: number,
     lastGrantIssuedAtMs: number,
@@ -156,24 +160,36 @@
     readUntilMs: number,
     knownUntilMs: number,
   ][] = [
-    ["no update yet: what is read", null, 10_000, 9900, 9900],
-    ["one has sent an update", frame("n1", 5, 9950), 10_100, 10_100, 10_100],
-    ["both have, and nothing has been read since", frame("n2", 6, 10_400), 10_500, 10_500, 10_500],
-    ["both have named all that they confirmed", frame("n1", 5, 11_000), 11_100, 10_500, 10_500],
-    ["the earliest counts", frame("n2", 6, 10_900), 11_200, 10_500, 10_900],
-    ["a list that is not whole adds nothing", frame("n2", 6, 11_100, false), 11_300, 10_500, 10_900],
-    ["a time from the future adds no more than now", frame("n2", 6, 99_000), 11_400, 10_500, 11_000],
+    ["without updates, only what has been read counts", null, 10_000, 9900, 9900],
+    ["one controller has sent an update", updateFrom("n1", 5, 9950), 10_100, 10_100, 10_100],
+    ["both have sent one, and everything has been read", updateFrom("n2", 6, 10_400), 10_500, 10_500, 10_500],
     [
-      "a new process can't name what the one before it confirmed",
-      frame("n1", 7, 11_300),
+      "only one controller has reported everything since the last read",
+      updateFrom("n1", 5, 11_000),
+      11_100,
+      10_500,
+      10_500,
+    ],
+    ["the earlier of both reports counts", updateFrom("n2", 6, 10_900), 11_200, 10_500, 10_900],
+    ["an incomplete report does not count", updateFrom("n2", 6, 11_100, false), 11_300, 10_500, 10_900],
+    ["a time in the future counts as the current time", updateFrom("n2", 6, 99_000), 11_400, 10_500, 11_000],
+    [
+      "a new process cannot report what the previous one confirmed",
+      updateFrom("n1", 7, 11_300),
       11_500,
       10_500,
       10_500,
     ],
-    ["so the other's list counts, too", frame("n2", 6, 11_600), 11_700, 11_500, 11_500],
     [
-      "once more was read than at its first update, its own list counts",
-      frame("n1", 7, 11_550),
+      "once the store has been read up to the restart, the read counts",
+      updateFrom("n2", 6, 11_600),
+      11_700,
+      11_500,
+      11_500,
+    ],
+    [
+      "once the store has been read up to its first update, the new process's report counts",
+      updateFrom("n1", 7, 11_550),
       11_900,
       11_500,
       11_550,
@@ -188,7 +204,7 @@
   }
 });
 
-function timesOf(facts: object): object {
+function acknowledgementTimes(facts: object): object {
   const { acknowledgementsKnownUntilMs, acknowledgementsUnknownBeforeMs } = facts as {
     acknowledgementsKnownUntilMs: number;
     acknowledgementsUnknownBeforeMs: number;
--- a/test/heartbeatUpdates.test.ts
+++ b/test/heartbeatUpdates.test.ts
@@ -30,10 +30,10 @@
   return { updates, cancellations };
 }
 
-test("an update without anything new still goes out, as the request for a grant", () => {
+test("an empty update is still sent, as the request for a grant", () => {
   const { updates } = newUpdates();
-  updates.noteGrant(900);
-  assert.deepEqual(updates.take(TERM, 3, 1000.7), [
+  updates.recordGrant(900);
+  assert.deepEqual(updates.takeUpdates(TERM, 3, 1000.7), [
     {
       kind: "heartbeat server update",
       from: "n1",
@@ -54,29 +54,29 @@
   ]);
 });
 
-test("each acknowledged heartbeat is in one update, in full if it says something new", () => {
+test("each acknowledged heartbeat is in exactly one update, in full if it brings a change", () => {
   const { updates } = newUpdates();
   const [first, second] = [worker("host-1"), worker("host-2")];
   updates.addUnchanged(first.heartbeat);
   updates.addUnchanged(second.heartbeat);
   updates.addChanged(second);
-  assert.deepEqual([updates.isChanged("host-1"), updates.isChanged("host-2")], [false, true]);
-  const [update] = updates.take(TERM, 2, 1250.4);
+  assert.deepEqual([updates.hasPendingChange("host-1"), updates.hasPendingChange("host-2")], [false, true]);
+  const [update] = updates.takeUpdates(TERM, 2, 1250.4);
   assert.deepEqual(update!.unchanged, [{ machine: "host-1", epoch: 2, tick: 9 }]);
   assert.deepEqual(update!.heartbeats, [{ ageMs: 250, heartbeat: second.heartbeat }]);
-  assert.equal(updates.isChanged("host-2"), false);
-  const [next] = updates.take(TERM, 2, 1300);
+  assert.equal(updates.hasPendingChange("host-2"), false);
+  const [next] = updates.takeUpdates(TERM, 2, 1300);
   assert.deepEqual([next!.sequence, next!.unchanged, next!.heartbeats], [2, [], []]);
 });
 
-test("many tasks are split over updates, of which only the last one confirms grants and names the rest", () => {
+test("many tasks are split over several updates, of which only the last one confirms grants and reports the rest", () => {
   const { updates, cancellations } = newUpdates();
-  updates.noteGrant(900);
-  assert.deepEqual([updates.noteResync(800), updates.noteResync(800)], [true, false]);
+  updates.recordGrant(900);
+  assert.deepEqual([updates.acceptResync(800), updates.acceptResync(800)], [true, false]);
   cancellations.add("job-1", new Date(0), 950);
   updates.addUnchanged(worker("host-0").heartbeat);
   updates.resync([worker("host-1", 700), worker("host-2", 495), worker("host-3", 1), worker("host-4", 1200)]);
-  const parts = updates.take(TERM, 5, 1000);
+  const parts = updates.takeUpdates(TERM, 5, 1000);
   assert.deepEqual(
     parts.map((part) => part.heartbeats.map(({ heartbeat }) => heartbeat.machine)),
     [["host-1", "host-2"], ["host-3"], ["host-4"]],
@@ -99,14 +99,14 @@
   );
 });
 
-test("a new term counts its updates anew and confirms no earlier leader's grant", () => {
+test("a new term restarts the sequence numbers and confirms no grant of an earlier leader", () => {
   const { updates } = newUpdates();
-  updates.noteGrant(900);
-  updates.noteResync(800);
-  updates.take(TERM, 0, 1000);
+  updates.recordGrant(900);
+  updates.acceptResync(800);
+  updates.takeUpdates(TERM, 0, 1000);
   updates.addUnchanged(worker("host-1").heartbeat);
   updates.beginTerm();
-  const [update] = updates.take(TERM + 1, 0, 2000);
+  const [update] = updates.takeUpdates(TERM + 1, 0, 2000);
   assert.deepEqual(
     [update!.sequence, update!.lastGrantIssuedAtMs, update!.lastResyncIssuedAtMs, update!.unchanged],
     [1, 0, 0, []],
