--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -237,7 +237,7 @@
       send: this.sendToPeer,
       random,
       leaseMs: LEADERSHIP_LEASE_MS,
-      probeMs: PROBE_MS,
+      pollIntervalMs: PROBE_MS,
       onLeadershipChange: (change) => this.leadershipChanged(change),
     });
   }
--- a/src/coordination/leader/buildTermParts.ts
+++ b/src/coordination/leader/buildTermComponents.ts
@@ -1,6 +1,6 @@
 /**
- * Builds the parts of one leader's term, from those that need nothing to those that need the others. Each part is given
- * what it uses and nothing else; no part knows the term that holds it.
+ * Builds the components of one leader's term in the order of their dependencies. Each component is passed only what it
+ * uses, and none of them depends on the term that holds it.
  */
 import { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { MachineType } from "../../protocol/model.js";
@@ -35,29 +35,35 @@
 import { longestZoneLeaseMs } from "../term/acknowledgementLimit.js";
 import { firstAttemptNumber, firstFencingToken } from "../term/fencingTokens.js";
 import type { TermMessage } from "./termMessage.js";
-import type { ActionParts, MachineParts, RecordParts, SharedParts, TermParts } from "./termParts.js";
+import type {
+  ActionComponents,
+  MachineComponents,
+  RecordComponents,
+  SharedComponents,
+  TermComponents,
+} from "./termComponents.js";
 
-/** What connects a term's parts to their leader's mailbox. */
+/** The connection from a term's components to the leader's mailbox. */
 export interface TermMailbox {
-  /** Handled in the leader's own turn, as long as the term lasts. */
-  tell: (message: TermMessage) => void;
-  /** Machine types as an earlier leader stored them. */
+  /** Posts a message to the leader, which drops it if the term is over by then. */
+  post: (message: TermMessage) => void;
+  /** Called with the machine types that an earlier leader has stored. */
   onStoredMachineTypes: (types: MachineType[]) => void;
 }
 
-function buildShared(
+function buildSharedComponents(
   lease: LeadershipLease,
   options: LeaderOptions,
   estimates: Estimates,
   mailbox: TermMailbox,
-): SharedParts {
+): SharedComponents {
   const { clock, platform } = options;
   const jobs = new JobRegistry();
   return {
     clock,
     estimates,
     stateStore: options.stateStore,
-    tell: mailbox.tell,
+    tell: mailbox.post,
     onDeposed: options.onDeposed,
     operator: options.operator,
     heartbeatS: platform.heartbeatS,
@@ -68,8 +74,8 @@
     machines: new MachineRegistry(firstFencingToken(lease.term), clock),
     usage: new QuotaUsage(platform.teams),
     reservations: new Reservations(jobs),
-    cycles: new CycleRequests(clock, () => mailbox.tell({ kind: "cycle" })),
-    writes: new WriteQueue(clock, () => mailbox.tell({ kind: "write" })),
+    cycles: new CycleRequests(clock, () => mailbox.post({ kind: "cycle" })),
+    writes: new WriteQueue(clock, () => mailbox.post({ kind: "write" })),
     servers: new HeartbeatServerRegistry(
       new Map(platform.peers.map((peer) => [peer.name, peer.zone])),
       longestZoneLeaseMs(platform.cancelS, platform.leaseS),
@@ -77,7 +83,7 @@
   };
 }
 
-function buildActions(shared: SharedParts, options: LeaderOptions): ActionParts {
+function buildActionComponents(shared: SharedComponents, options: LeaderOptions): ActionComponents {
   const commands = new CommandDeliveries({ ...shared, deliver: options.deliver });
   const firstNumber = firstAttemptNumber(shared.lease.term);
   const attempts = new Attempts({ ...shared, commands, firstNumber });
@@ -86,10 +92,10 @@
   return { commands, attempts, rounds, provisioner };
 }
 
-function buildMachineParts(
-  shared: SharedParts,
-  { commands, attempts, provisioner }: ActionParts,
-): MachineParts {
+function buildMachineComponents(
+  shared: SharedComponents,
+  { commands, attempts, provisioner }: ActionComponents,
+): MachineComponents {
   const cordon = new Cordon({ ...shared, attempts });
   const reconciliation = new Reconciliation({ ...shared, attempts, commands, cordon });
   const heartbeats = new HeartbeatProcessor({ ...shared, commands, cordon, reconciliation });
@@ -111,13 +117,13 @@
   return { reconciliation, heartbeats, deliveryResults, supervisor };
 }
 
-function buildRecordParts(
-  shared: SharedParts,
-  { commands, attempts, rounds }: ActionParts,
+function buildRecordComponents(
+  shared: SharedComponents,
+  { commands, attempts, rounds }: ActionComponents,
   reconciliation: Reconciliation,
   options: LeaderOptions,
   mailbox: TermMailbox,
-): RecordParts {
+): RecordComponents {
   const singletons = new SingletonRecords();
   const jobRecords = new JobRecords({ ...shared, attempts, onJobRemoved: (id) => rounds.forgetJob(id) });
   const watcher = new RecordWatcher({ ...shared, jobRecords });
@@ -142,17 +148,17 @@
   return { singletons, jobRecords, watcher, loader, writer };
 }
 
-/** Builds all parts of a term; none of them has begun to do anything. */
-export function buildTermParts(
+/** Builds all components of a term without starting any of them. */
+export function buildTermComponents(
   lease: LeadershipLease,
   options: LeaderOptions,
   estimates: Estimates,
   mailbox: TermMailbox,
-): TermParts {
-  const shared = buildShared(lease, options, estimates, mailbox);
-  const actions = buildActions(shared, options);
-  const machineParts = buildMachineParts(shared, actions);
-  const records = buildRecordParts(shared, actions, machineParts.reconciliation, options, mailbox);
+): TermComponents {
+  const shared = buildSharedComponents(lease, options, estimates, mailbox);
+  const actions = buildActionComponents(shared, options);
+  const machineComponents = buildMachineComponents(shared, actions);
+  const records = buildRecordComponents(shared, actions, machineComponents.reconciliation, options, mailbox);
   const grants = new GrantIssuer({
     ...options,
     ...shared,
@@ -167,5 +173,5 @@
     objectives: options.platform.objectives,
     lagMs: options.lagMs,
   });
-  return { ...shared, ...actions, ...machineParts, ...records, grants, scheduler };
+  return { ...shared, ...actions, ...machineComponents, ...records, grants, scheduler };
 }
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -1,4 +1,4 @@
-/** The actor that leads while this controller holds a term. Everything of a term lives and ends with it. */
+/** The actor that runs the term that this controller leads, if any. All state of a term is discarded when it ends. */
 import type { DeliveryResult, MachineType } from "../../protocol/model.js";
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { Timer } from "../../transport/clock.js";
@@ -6,30 +6,30 @@
 import type { CloudEvent } from "../provisioning/cloudEvents.js";
 import { Estimates } from "../scheduling/estimates.js";
 import type { LeadershipChange, LeadershipLease } from "../term/leadershipLease.js";
-import { buildTermParts } from "./buildTermParts.js";
+import { buildTermComponents } from "./buildTermComponents.js";
 import type { LeaderOptions } from "./leaderOptions.js";
 import { LeaderTerm } from "./leaderTerm.js";
 import type { TermMessage } from "./termMessage.js";
 
-/** Between two looks at what is due by the clock. */
+/** Interval between two ticks, which start all periodic work of the term. */
 const TICK_MS = 250;
 
-/** All that a leader's mailbox takes. Whatever belongs to a term that is over is dropped. */
+/** The messages of a leader's mailbox. Messages of a term that is over are dropped. */
 export type LeaderMessage =
-  /** This controller begins to lead a term, its rights in it move, or it leads no more. */
+  /** This controller has become the leader of a term, its lease of that term has changed, or it no longer leads. */
   | { kind: "election"; change: LeadershipChange }
-  /** From a controller that acknowledges heartbeats, this one included. */
+  /** An update from a controller that acknowledges heartbeats, which may be this one. */
   | { kind: "heartbeat server update"; update: HeartbeatServerUpdate }
   | { kind: "delivery finished"; term: number; result: DeliveryResult }
-  /** From the cloud's client; machine types come from the state store, too. */
+  /** An event from the cloud client, or machine types that were read from the state store. */
   | { kind: "cloud"; event: CloudEvent }
-  /** From a part of that term. */
+  /** A message from a component of the given term. */
   | { kind: "term"; term: number; message: TermMessage }
   | { kind: "tick" };
 
 /**
- * The leader's actor: holds the term while this controller leads one, and forwards to it what concerns it. Outlives terms;
- * what is known of machine types is kept from one to the next.
+ * Holds the term while this controller leads one and forwards messages to it. The actor outlives its terms and keeps the
+ * known machine types from one term to the next.
  */
 export class Leader extends Actor<LeaderMessage> {
   private term: LeaderTerm | null = null;
@@ -60,13 +60,13 @@
   protected override handle(message: LeaderMessage): void {
     switch (message.kind) {
       case "election":
-        this.leadershipChanged(message.change);
+        this.handleLeadershipChange(message.change);
         break;
       case "tick":
         this.tick();
         break;
       case "cloud":
-        this.receiveCloudEvent(message.event);
+        this.handleCloudEvent(message.event);
         break;
       case "heartbeat server update":
         this.forwardToTerm(message.update.term, message);
@@ -84,7 +84,7 @@
     if (this.term?.lease.term === term) this.term.handle(message);
   }
 
-  private leadershipChanged({ lease }: LeadershipChange): void {
+  private handleLeadershipChange({ lease }: LeadershipChange): void {
     if (lease && this.term?.lease.term === lease.term) {
       this.term.lease.renew(lease);
       return;
@@ -98,15 +98,15 @@
 
   private buildTerm(lease: LeadershipLease): LeaderTerm {
     const { term } = lease;
-    const parts = buildTermParts(lease, this.options, this.estimates, {
-      tell: (message) => this.tell({ kind: "term", term, message }),
+    const components = buildTermComponents(lease, this.options, this.estimates, {
+      post: (message) => this.tell({ kind: "term", term, message }),
       onStoredMachineTypes: (types) =>
         this.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
     });
-    return new LeaderTerm(parts, this.options);
+    return new LeaderTerm(components, this.options);
   }
 
-  private receiveCloudEvent(event: CloudEvent): void {
+  private handleCloudEvent(event: CloudEvent): void {
     if (event.kind !== "types") {
       this.term?.handle({ kind: "cloud", event });
       return;
@@ -119,13 +119,13 @@
     if (types.length === 0) return;
     const changed = this.estimates.setTypes(types);
     if (changed) this.options.onMachineTypes(types);
-    this.term?.machineTypesChanged({ fromCloud, changed });
+    this.term?.applyMachineTypes({ fromCloud, changed });
   }
 
   private tick(): void {
     if (this.isStopped) return;
     this.timer?.cancel();
-    // Without a term there is nothing to do: the next one begins it.
+    // Without a term there is no periodic work; the next term starts the ticks again.
     if (!this.term) return;
     this.timer = this.options.clock.after(TICK_MS, () => this.tell({ kind: "tick" }));
     this.term.tick(this.options.clock.nowMs());
--- a/src/coordination/leader/leaderOptions.ts
+++ b/src/coordination/leader/leaderOptions.ts
@@ -1,4 +1,4 @@
-/** What a leader is given by its controller. */
+/** The dependencies and settings of a leader. */
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { CommandDelivery, MachineType } from "../../protocol/model.js";
 import type { Grant, TaskCounts } from "../../protocol/peers/messages.js";
@@ -8,30 +8,30 @@
 import type { HeartbeatServerLimits } from "../heartbeats/acknowledgementRights.js";
 import type { CloudClient } from "../provisioning/cloudClient.js";
 
-/** What a leader uses of its controller. */
+/** The dependencies that the controller passes to its leader. */
 export interface LeaderOptions {
   platform: Platform;
   operator: Operator;
   stateStore: StateStoreClient;
   clock: Clock;
   cloud: CloudClient;
-  /** Has commands sent to a machine, by the controller `via` that serves it, or by this one when that is null. */
+  /** Sends commands to a machine through the controller `via` that serves it, or directly if `via` is null. */
   deliver: (term: number, via: string | null, delivery: CommandDelivery) => void;
   sendGrant: (peer: string, grant: Grant) => void;
-  /** Which controllers serve workers: this controller's heartbeat server balances them, too. */
+  /** Receives the controllers that serve workers, because this controller's heartbeat server balances workers as well. */
   onServers: (servers: Grant["servers"]) => void;
-  /** What this controller's heartbeat server may acknowledge. */
+  /** Receives the limits on what this controller's heartbeat server may acknowledge. */
   onLimits: (limits: HeartbeatServerLimits) => void;
-  /** Number of workers that send their heartbeats to this controller. */
+  /** Returns the number of workers that send their heartbeats to this controller. */
   workerCount: () => number;
-  /** How late this process's timers fire. */
+  /** Returns the current timer lag of this process. */
   lagMs: () => number;
-  /** A later term than that one has begun. */
+  /** Called when a term later than the given one has begun. */
   onDeposed: (term: number) => void;
-  /** This controller can't keep up with leading that term, and others can. */
+  /** Called when this controller is overloaded as leader of the given term and another controller is not. */
   onLagging: (term: number) => void;
-  /** New or changed machine types. */
+  /** Called with the machine types when they are new or changed. */
   onMachineTypes: (types: MachineType[]) => void;
-  /** Counts for display, of the jobs whose counts have changed. */
+  /** Receives the changed task counts of jobs, which are for display only. */
   onTaskCounts: (term: number, counts: TaskCounts[]) => void;
 }
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -1,4 +1,4 @@
-/** One term at work: hands each message and each tick down to the parts that it concerns, in a fixed order. */
+/** The running term of a leader: dispatches messages and ticks to the term's components in a fixed order. */
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import { FleetUsageLog } from "../provisioning/fleetUsageLog.js";
 import type { TermLease } from "../term/termLease.js";
@@ -7,18 +7,18 @@
 import { OverloadDetector } from "./overloadDetector.js";
 import { TaskCountPublisher } from "./taskCountPublisher.js";
 import type { TermMessage } from "./termMessage.js";
-import type { TermParts } from "./termParts.js";
+import type { TermComponents } from "./termComponents.js";
 
-/** Machine types are requested this often once they are known: their prices change. */
+/** Interval between requests for machine types once they are known, because their prices change. */
 const TYPES_INTERVAL_MS = 60_000;
-/** Machine types are requested this often before they are known: nothing can be scaled out without them. */
+/** Interval between requests for machine types before they are known, as scaling out requires them. */
 const UNKNOWN_TYPES_INTERVAL_MS = 2000;
-/** The cloud's list of machines is requested no more often than this, nor than the list itself changes. */
+/** Minimum interval between requests for the cloud's machine list, unless the list itself lags by more. */
 const LIST_INTERVAL_MS = 4000;
-/** Task counts, the heartbeat servers' load and the fleet's usage are published this often. */
+/** Interval at which task counts, the load of the heartbeat servers and the fleet usage are published. */
 const PUBLISH_INTERVAL_MS = 1000;
 
-/** One leader's term: forwards each message and tick to the parts it concerns. Thrown away whole when the term ends. */
+/** Forwards each message and tick of one term to the components concerned. Is discarded when the term ends. */
 export class LeaderTerm {
   private readonly taskCounts: TaskCountPublisher;
   private readonly fleetUsage: FleetUsageLog;
@@ -28,32 +28,32 @@
   private lastPublishMs = -Infinity;
 
   constructor(
-    private readonly parts: TermParts,
+    private readonly components: TermComponents,
     private readonly options: LeaderOptions,
   ) {
-    const { lease, jobs, machines, estimates } = parts;
+    const { lease, jobs, machines, estimates } = components;
     this.lastTypesMs = estimates.areTypesKnown ? lease.startedMs : -Infinity;
     this.taskCounts = new TaskCountPublisher(jobs, (counts) => options.onTaskCounts(lease.term, counts));
     this.fleetUsage = new FleetUsageLog(machines, lease.startedMs);
     this.overload = new OverloadDetector(lease.startedMs);
   }
 
-  /** The lease of this term, moved and ended by the leader. */
+  /** The lease of this term, which the leader renews and ends. */
   get lease(): TermLease {
-    return this.parts.lease;
+    return this.components.lease;
   }
 
-  /** Begins the term: nothing is decided before its records are read. */
+  /** Starts to load the term's records; the term makes no decisions before they are loaded. */
   begin(): void {
-    this.parts.loader.load();
+    this.components.loader.load();
   }
 
-  /** Handles what the term's own parts, the cloud's client and the controllers send. */
+  /** Handles a message from the term's components, the cloud client or a controller. */
   handle(message: TermMessage): void {
-    const { deliveryResults, loader, watcher, writer, grants, scheduler, provisioner } = this.parts;
+    const { deliveryResults, loader, watcher, writer, grants, scheduler, provisioner } = this.components;
     switch (message.kind) {
       case "heartbeat server update":
-        this.receiveUpdate(message.update);
+        this.handleHeartbeatServerUpdate(message.update);
         break;
       case "delivery finished":
         deliveryResults.handleResult(message.result);
@@ -83,13 +83,13 @@
     }
   }
 
-  /** What a controller has acknowledged under a grant, or this controller's own heartbeat server by the leader's lease. */
-  private receiveUpdate(update: HeartbeatServerUpdate): void {
-    const { lease, servers, grants, heartbeats } = this.parts;
+  /** Applies what a controller acknowledged under a grant, or this controller under its leadership lease. */
+  private handleHeartbeatServerUpdate(update: HeartbeatServerUpdate): void {
+    const { lease, servers, grants, heartbeats } = this.components;
     const nowMs = this.options.clock.nowMs();
     const isLocal = update.from === this.options.platform.node;
     if (!isLocal) servers.applyUpdate(update, nowMs);
-    // Before the records are read it is not known which of them mean anything here; they are sent again until then.
+    // The jobs are unknown before the records are loaded; until then the controllers send their cancellations again.
     if (lease.isLoaded) grants.applyCancellations(update, nowMs);
     for (const unchanged of update.unchanged)
       if (!heartbeats.receiveUnchanged(unchanged, update.from, nowMs))
@@ -99,11 +99,11 @@
   }
 
   /**
-   * Machine types have come in: from the cloud itself or as an earlier leader stored them; `changed` says whether more than
-   * their prices is new. Those from the cloud are stored when they are new, or when none are stored yet.
+   * Applies machine types, either listed by the cloud or stored by an earlier leader. `changed` is true if more than
+   * their prices has changed. Types from the cloud are stored if they have changed or if none are stored yet.
    */
-  machineTypesChanged({ fromCloud, changed }: { fromCloud: boolean; changed: boolean }): void {
-    const { machines, estimates, singletons, writes } = this.parts;
+  applyMachineTypes({ fromCloud, changed }: { fromCloud: boolean; changed: boolean }): void {
+    const { machines, estimates, singletons, writes } = this.components;
     for (const machine of machines.values())
       if (machine.type) machine.type = estimates.typeNamed(machine.type.name) ?? machine.type;
     const isStored = singletons.typesVersion > 0;
@@ -112,14 +112,15 @@
     writes.requestWrite(0);
   }
 
-  /** Something has changed that a scheduling cycle should look at. */
+  /** Requests a scheduling cycle after a change that may allow placements. */
   requestCycle(): void {
-    this.parts.cycles.requestCycle();
+    this.components.cycles.requestCycle();
   }
 
-  /** Does what is due by the clock. */
+  /** Runs the periodic work that is due. */
   tick(nowMs: number): void {
-    const { lease, grants, writer, supervisor, rounds, cycles, jobRecords, writes, operator } = this.parts;
+    const { lease, grants, writer, supervisor, rounds, cycles, jobRecords, writes, operator } =
+      this.components;
     this.requestMachineTypes(nowMs);
     if (!lease.isLoaded) return;
     this.requestMachineList(nowMs);
@@ -135,7 +136,9 @@
   }
 
   private requestMachineTypes(nowMs: number): void {
-    const intervalMs = this.parts.estimates.areTypesKnown ? TYPES_INTERVAL_MS : UNKNOWN_TYPES_INTERVAL_MS;
+    const intervalMs = this.components.estimates.areTypesKnown
+      ? TYPES_INTERVAL_MS
+      : UNKNOWN_TYPES_INTERVAL_MS;
     if (nowMs - this.lastTypesMs <= intervalMs) return;
     this.lastTypesMs = nowMs;
     this.options.cloud.tell({ kind: "types" });
@@ -150,15 +153,15 @@
   private publish(nowMs: number): void {
     if (nowMs - this.lastPublishMs <= PUBLISH_INTERVAL_MS) return;
     this.lastPublishMs = nowMs;
-    this.parts.grants.publishServers(nowMs);
+    this.components.grants.publishServers(nowMs);
     this.taskCounts.publish(nowMs);
     this.fleetUsage.sample(nowMs);
   }
 
-  /** A leader that can't keep up makes everybody wait; one that can takes over within a second. */
+  /** Requests to step down: an overloaded leader delays every user, and a faster one takes over within a second. */
   private stepDownIfOverloaded(nowMs: number): void {
     const lagMs = this.options.lagMs();
-    if (this.overload.isOverloaded(lagMs, nowMs) && this.parts.servers.hasFasterServer(lagMs, nowMs))
-      this.options.onLagging(this.parts.lease.term);
+    if (this.overload.isOverloaded(lagMs, nowMs) && this.components.servers.hasFasterServer(lagMs, nowMs))
+      this.options.onLagging(this.components.lease.term);
   }
 }
--- a/src/coordination/leader/taskCountPublisher.ts
+++ b/src/coordination/leader/taskCountPublisher.ts
@@ -1,14 +1,14 @@
-/** Progress of jobs for display at all controllers; nothing relies on it. */
+/** Publishes the progress of jobs to all controllers. The counts are for display only; no decision uses them. */
 import type { Job } from "../../bookkeeping/workload.js";
 import type { TaskCounts } from "../../protocol/peers/messages.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 
-/** All counts are published this often, for a controller that has started in between. */
+/** Interval at which all counts are published, for controllers that have started in the meantime. */
 const PUBLISH_ALL_INTERVAL_MS = 10_000;
-/** More jobs than this go into several messages, so that none of them holds up what waits behind it. */
+/** Maximum number of jobs per message, so that a long message does not delay the messages behind it. */
 const MAX_JOBS_PER_MESSAGE = 2000;
 
-/** Publishes how many tasks of each job are done and running, for display only: what has changed since the last time. */
+/** Publishes the numbers of done and running tasks of the jobs whose counts have changed. */
 export class TaskCountPublisher {
   private readonly published = new Map<Job, { done: number; running: number }>();
   private lastAllMs = -Infinity;
@@ -18,7 +18,7 @@
     private readonly send: (counts: TaskCounts[]) => void,
   ) {}
 
-  /** Sends the counts that have changed since the last call; from time to time all of them. */
+  /** Sends the counts that have changed since the last call, and all of them every `PUBLISH_ALL_INTERVAL_MS`. */
   publish(nowMs: number): void {
     if (nowMs - this.lastAllMs > PUBLISH_ALL_INTERVAL_MS) {
       this.lastAllMs = nowMs;
--- a/src/coordination/leader/termParts.ts
+++ b/src/coordination/leader/termComponents.ts
@@ -1,4 +1,4 @@
-/** The parts of one leader's term, by what they are for. `buildTermParts` makes them. */
+/** The components of one leader's term, grouped by purpose and built by `buildTermComponents`. */
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { Operator } from "../../settings/operator.js";
@@ -28,21 +28,21 @@
 import type { WriteQueue } from "../term/writeQueue.js";
 import type { TermMessage } from "./termMessage.js";
 
-/** The state that the parts share, each piece with one owner, and what they ask of the leader. */
-export interface SharedParts {
+/** State, callbacks and settings that the components share. Each piece of state has one owner. */
+export interface SharedComponents {
   clock: Clock;
   estimates: Estimates;
   stateStore: StateStoreClient;
-  /** Handled in the leader's own turn, as long as the term lasts. */
+  /** Posts a message to the leader, which drops it if the term is over by then. */
   tell: (message: TermMessage) => void;
-  /** A later term than that one has begun. */
+  /** Called when a term later than the given one has begun. */
   onDeposed: (term: number) => void;
   operator: Operator;
-  /** Seconds between two heartbeats of a worker. */
+  /** Interval between two heartbeats of a worker, in seconds. */
   heartbeatS: number;
-  /** A worker's lease, in seconds. */
+  /** Duration of a worker's lease, in seconds. */
   leaseS: number;
-  /** A machine is suspected after so many seconds without a heartbeat. */
+  /** Time without a heartbeat after which a machine is suspected to have failed, in seconds. */
   suspectS: number;
   lease: TermLease;
   jobs: JobRegistry;
@@ -54,24 +54,24 @@
   servers: HeartbeatServerRegistry;
 }
 
-/** What acts on attempts: commands, consolidation and provisioning. */
-export interface ActionParts {
+/** Components that act on attempts: commands, consolidation and provisioning. */
+export interface ActionComponents {
   commands: CommandDeliveries;
   attempts: Attempts;
   rounds: ConsolidationRounds;
   provisioner: Provisioner;
 }
 
-/** What follows the machines: heartbeats, deliveries' results, supervision by the clock. */
-export interface MachineParts {
+/** Components that track machines by heartbeats, delivery results and timeouts. */
+export interface MachineComponents {
   reconciliation: Reconciliation;
   heartbeats: HeartbeatProcessor;
   deliveryResults: DeliveryResultHandler;
   supervisor: MachineSupervisor;
 }
 
-/** What reads, watches and writes the term's records. */
-export interface RecordParts {
+/** Components that read, watch and write the term's records. */
+export interface RecordComponents {
   singletons: SingletonRecords;
   jobRecords: JobRecords;
   watcher: RecordWatcher;
@@ -79,8 +79,9 @@
   writer: RecordWriter;
 }
 
-/** All parts of a term. */
-export interface TermParts extends SharedParts, ActionParts, MachineParts, RecordParts {
+/** All components of a term. */
+export interface TermComponents
+  extends SharedComponents, ActionComponents, MachineComponents, RecordComponents {
   grants: GrantIssuer;
   scheduler: Scheduler;
 }
--- a/src/coordination/leader/termMessage.ts
+++ b/src/coordination/leader/termMessage.ts
@@ -1,10 +1,10 @@
-/** The messages that belong to one term. */
+/** The messages of one term. */
 import type { DeliveryResult } from "../../protocol/model.js";
 import type { HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
 import type { MachineEvent } from "../provisioning/cloudEvents.js";
 import type { RecordMessage } from "../records/recordMessages.js";
 
-/** What one term handles in the leader's turn; dropped once the term is over. */
+/** A message for one term, which the leader drops once that term is over. */
 export type TermMessage =
   | RecordMessage
   | { kind: "heartbeat server update"; update: HeartbeatServerUpdate }
--- a/src/coordination/leadership/checkTimer.ts
+++ b/src/coordination/leadership/checkTimer.ts
@@ -1,20 +1,21 @@
-/** The elector's one timer: when it next renews its lease or reads who leads. */
+/** The timer of the elector's leadership checks. */
 import type { Clock, Timer } from "../../transport/clock.js";
 
-/** A delay with a random part, so that controllers that failed together don't try again together. */
+/** A delay with jitter, so that controllers that failed at the same time don't retry at the same time. */
 export interface RandomDelay {
-  leastMs: number;
-  spreadMs: number;
+  minMs: number;
+  /** Upper bound of the random time added to `minMs`. */
+  jitterMs: number;
 }
 
-/** What the timer uses of the elector. */
+/** The timer's dependencies. */
 export interface CheckTimerContext {
   clock: Clock;
-  /** At least 0 and below 1. */
+  /** Returns a number of at least 0 and below 1. */
   random: () => number;
 }
 
-/** When an elector looks at the leadership next. At most one check is pending; none is once the timer is stopped. */
+/** Schedules the elector's next leadership check. At most one check is pending, and none after `stop`. */
 export class CheckTimer {
   private pending: Timer | null = null;
   private stopped = false;
@@ -28,16 +29,16 @@
     return this.stopped;
   }
 
-  /** Replaces the pending check by one after that time. */
+  /** Schedules a check after the delay, in place of the pending one. */
   checkAfter(delayMs: number): void {
     this.pending?.cancel();
     if (this.stopped) return;
     this.pending = this.context.clock.after(delayMs, this.onDue);
   }
 
-  /** Replaces the pending check by one after a time drawn from that span. */
-  checkAfterRandom({ leastMs, spreadMs }: RandomDelay): void {
-    this.checkAfter(leastMs + this.context.random() * spreadMs);
+  /** Schedules a check after a random delay, in place of the pending one. */
+  checkAfterRandom({ minMs, jitterMs }: RandomDelay): void {
+    this.checkAfter(minMs + this.context.random() * jitterMs);
   }
 
   stop(): void {
--- a/src/coordination/leadership/electionStep.ts
+++ b/src/coordination/leadership/electionStep.ts
@@ -1,32 +1,32 @@
-/** What a controller that does not lead does after it has read the leadership. */
+/** The decision that a controller that does not lead takes after each read of the leadership record. */
 import type { LeadershipRecord } from "./leadershipRecord.js";
 
-/** What to do after a read of the leadership. */
+/** The next action of a controller that does not lead. */
 export type ElectionStep =
-  /** Read again after a while. */
+  /** Read the record again after the poll interval. */
   | { kind: "wait" }
-  /** Try to begin the next term. */
+  /** Campaign for the next term. */
   | { kind: "campaign" }
-  /** End the lease of a leader that is gone, so that nobody waits for its expiry. */
+  /** End the lease of a leader that has failed, so that the next term can begin before that lease expires. */
   | { kind: "end lease"; record: LeadershipRecord; reason: string };
 
-/** What this controller knows beside the record. */
+/** The inputs of the decision other than the leadership record. */
 export interface ElectionFacts {
   node: string;
   incarnation: string;
-  /** The leader's host refuses connections, and nothing shows that the leader lives. */
+  /** True if the leader's host refuses connections and there is no evidence that the leader is alive. */
   isLeaderSuspected: boolean;
-  /** This controller has stepped down, and leaves the next term to others for a while. */
+  /** True while this controller does not campaign because it has stepped down. */
   isCampaignPaused: boolean;
 }
 
-/** Decides the next step from the record that was read (null: nobody leads) and what else is known. Pure. */
-export function stepAfterRead(record: LeadershipRecord | null, facts: ElectionFacts): ElectionStep {
+/** Returns the next action, given the record that was read, which is null if there is no leader. Has no side effects. */
+export function decideElectionStep(record: LeadershipRecord | null, facts: ElectionFacts): ElectionStep {
   if (!record) return { kind: facts.isCampaignPaused ? "wait" : "campaign" };
   if (facts.isLeaderSuspected)
     return { kind: "end lease", record, reason: `${record.node} refuses connections` };
-  // The former process of this node is certainly over, so nobody need wait for its lease.
+  // The previous process of this node has certainly ended, so its lease can be ended as well.
   if (record.node === facts.node && record.incarnation !== facts.incarnation)
-    return { kind: "end lease", record, reason: "it belongs to a former process of this node" };
+    return { kind: "end lease", record, reason: "it belongs to a previous process of this node" };
   return { kind: "wait" };
 }
--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -1,13 +1,13 @@
 /**
- * The election of the controllers' leader. A term begins with a compare-and-swap in the state store and lasts as long as
- * its lease there is renewed. In an outage of the state store a majority of the controllers may extend the right to
- * acknowledge heartbeats, never the right to write. Guards rule `ran_twice`: a new leader relies on elapsed leases only
- * from when no earlier one can have acknowledged anything, and the election says from when that is.
+ * Leader election among the controllers. A term begins with a compare-and-swap in the state store and lasts as long as
+ * its lease is renewed there. During an outage of the state store a majority of the controllers may extend the leader's
+ * right to acknowledge heartbeats, but never its right to write. Enforces rule `ran_twice`: a new leader counts worker
+ * leases from the time after which no earlier leader can have acknowledged a heartbeat. The election publishes that time.
  */
 import { log } from "../../transport/log.js";
 import { Actor } from "../../transport/actor.js";
 import { CheckTimer, type RandomDelay } from "./checkTimer.js";
-import { stepAfterRead } from "./electionStep.js";
+import { decideElectionStep } from "./electionStep.js";
 import type {
   ElectionPeerMessage,
   ElectorMessage,
@@ -24,24 +24,24 @@
 import { LivenessWrites } from "./livenessWrites.js";
 import { OwnTerm } from "./ownTerm.js";
 
-/** Renewals in one length of the lease: a few may fail before it expires. */
+/** The leader sends this many renewals per lease duration, so that a few may fail before the lease expires. */
 const RENEWALS_PER_LEASE = 4;
-/** A failed renewal is tried again after this. */
+/** Delay before a failed renewal is retried. */
 const RENEWAL_RETRY_MS = 300;
-/** A leader that can't keep up leaves the next terms to others for so long. */
+/** After stepping down because of overload, a controller does not campaign for this long. */
 const STEP_DOWN_PAUSE_MS = 20_000;
-/** A lost campaign: whoever won it is found by the next read. */
-const CAMPAIGN_RETRY: RandomDelay = { leastMs: 50, spreadMs: 150 };
-/** A leader that has resigned leaves the others a head start. */
-const CHECK_AFTER_RESIGNING: RandomDelay = { leastMs: 100, spreadMs: 200 };
+/** Delay between a lost campaign and the next read, which finds the winner. */
+const CAMPAIGN_RETRY: RandomDelay = { minMs: 50, jitterMs: 150 };
+/** Delay between resigning and the next read, so that the other controllers can campaign first. */
+const CHECK_AFTER_RESIGNING: RandomDelay = { minMs: 100, jitterMs: 200 };
 
-/** Owns this controller's part in the election. Every change that others need to know goes to `onLeadershipChange`. */
+/** Runs this controller's part of the election and reports changes of leader and lease to `onLeadershipChange`. */
 export class Elector extends Actor<ElectorMessage> {
-  /** Null while this controller does not lead. */
+  /** The term that this controller leads, or null if it does not lead. */
   private ownTerm: OwnTerm | null = null;
-  /** One request to the state store at a time: a read, a renewal, a campaign, or the end of another one's lease. */
+  /** Allows one request at a time to the state store: a read, a renewal, a campaign or ending another leader's lease. */
   private isRequestInFlight = false;
-  private noCampaignUntilMs = -Infinity;
+  private campaignPausedUntilMs = -Infinity;
   private readonly timer: CheckTimer;
   private readonly known: KnownLeadership;
   private readonly store: LeadershipStore;
@@ -61,7 +61,7 @@
     this.tell({ kind: "check due" });
   }
 
-  /** A lease that is held is left to its expiry. */
+  /** Stops the timer. A lease that this controller holds is not ended early but expires. */
   stop(): void {
     this.timer.stop();
   }
@@ -72,22 +72,22 @@
         this.checkLeadership();
         break;
       case "leadership read":
-        this.leadershipRead(message.view, message.sentMs);
+        this.handleLeadershipRead(message.view, message.sentMs);
         break;
       case "campaign finished":
-        this.campaignFinished(message.won);
+        this.handleCampaignResult(message.won);
         break;
       case "renewal finished":
-        this.renewalFinished(message);
+        this.handleRenewalResult(message);
         break;
       case "liveness write due":
         this.writeLiveness();
         break;
       case "peer":
-        this.receive(message.message);
+        this.receivePeerMessage(message.message);
         break;
       case "peer refused":
-        this.peerRefused(message.peer, message.othersReachable);
+        this.handlePeerRefusal(message.peer, message.othersReachable);
         break;
       case "deposed":
         if (this.ownTerm?.term === message.term) this.resign("a later term has begun");
@@ -98,7 +98,7 @@
     }
   }
 
-  // The check of the leadership: a renewal by the leader, a read by everybody else.
+  // Leadership checks: the leader renews its lease, every other controller reads the leadership record.
 
   private checkLeadership(): void {
     if (this.isRequestInFlight) return;
@@ -114,26 +114,26 @@
     }
   }
 
-  private leadershipRead(view: LeadershipView | null, sentMs: number): void {
-    const { node, incarnation, clock, probeMs } = this.options;
+  private handleLeadershipRead(view: LeadershipView | null, sentMs: number): void {
+    const { node, incarnation, clock, pollIntervalMs } = this.options;
     this.isRequestInFlight = false;
     if (!view) {
-      this.timer.checkAfter(probeMs);
+      this.timer.checkAfter(pollIntervalMs);
       return;
     }
     const { record } = view;
-    this.known.hasBeenRead = true;
+    this.known.hasReadLeadership = true;
     this.known.observeTerm(view.term);
     this.observeLeader(record?.node ?? null, record?.term ?? 0);
-    const step = stepAfterRead(record, {
+    const step = decideElectionStep(record, {
       node,
       incarnation,
       isLeaderSuspected: record !== null && this.isSuspected(record, view.revision, sentMs),
-      isCampaignPaused: clock.nowMs() < this.noCampaignUntilMs,
+      isCampaignPaused: clock.nowMs() < this.campaignPausedUntilMs,
     });
     switch (step.kind) {
       case "wait":
-        this.timer.checkAfter(probeMs);
+        this.timer.checkAfter(pollIntervalMs);
         break;
       case "campaign":
         this.campaign(view);
@@ -151,7 +151,7 @@
 
   private endLease(record: LeadershipRecord, reason: string): void {
     this.isRequestInFlight = true;
-    log.info(`ending the lease of term ${record.term}: ${reason}`);
+    log.info(`ending the leadership lease of term ${record.term}: ${reason}`);
     void this.store.endLease(record.leaseId).then(() => {
       this.isRequestInFlight = false;
       this.tell({ kind: "check due" });
@@ -163,14 +163,14 @@
     this.options.onLeadershipChange({ lease: null, leader: this.known.leader.node, term });
   }
 
-  // From candidate to leader, and back.
+  // Campaigning, leading and resigning.
 
   private campaign(view: LeadershipView): void {
     this.isRequestInFlight = true;
     void this.store.campaign(view, (won) => this.tell({ kind: "campaign finished", won }));
   }
 
-  private campaignFinished(won: WonTerm | null): void {
+  private handleCampaignResult(won: WonTerm | null): void {
     this.isRequestInFlight = false;
     if (!won) {
       this.timer.checkAfterRandom(CAMPAIGN_RETRY);
@@ -178,12 +178,12 @@
     }
     this.known.lead(won.term);
     this.ownTerm = new OwnTerm(won, this.extensionRequests, this.options);
-    log.info(`leading term ${won.term}`);
+    log.info(`became leader of term ${won.term}`);
     this.ownTerm.begin();
     this.timer.checkAfter(this.options.leaseMs / RENEWALS_PER_LEASE);
   }
 
-  private renewalFinished({ term, outcome, sentMs }: RenewalResult): void {
+  private handleRenewalResult({ term, outcome, sentMs }: RenewalResult): void {
     const { ownTerm } = this;
     this.isRequestInFlight = false;
     if (ownTerm?.term !== term) {
@@ -192,34 +192,34 @@
     }
     switch (outcome) {
       case "ok":
-        ownTerm.renewed(sentMs);
+        ownTerm.applyRenewal(sentMs);
         this.timer.checkAfter(this.options.leaseMs / RENEWALS_PER_LEASE);
         break;
       case "ended":
-        this.resign("the leadership lease has ended");
+        this.resign("the state store has ended the leadership lease");
         break;
       case "failed":
-        this.renewalFailed(ownTerm);
+        this.handleRenewalFailure(ownTerm);
         break;
     }
   }
 
-  /** Refused or no answer: perhaps an outage. The peers are asked in time, before the lease expires. */
-  private renewalFailed(ownTerm: OwnTerm): void {
+  /** Requests an extension before the lease expires, because a refused or unanswered renewal may mean an outage. */
+  private handleRenewalFailure(ownTerm: OwnTerm): void {
     ownTerm.requestExtension();
-    if (ownTerm.isLost()) this.resign("the leadership lease has run out and no quorum extends it");
+    if (ownTerm.isLost()) this.resign("the leadership lease expired and no quorum extended it");
     else this.timer.checkAfter(RENEWAL_RETRY_MS);
   }
 
   private stepDown(): void {
-    this.noCampaignUntilMs = this.options.clock.nowMs() + STEP_DOWN_PAUSE_MS;
-    this.resign("this node is overloaded, others are not");
+    this.campaignPausedUntilMs = this.options.clock.nowMs() + STEP_DOWN_PAUSE_MS;
+    this.resign("this controller is overloaded and another one is not");
   }
 
   private resign(reason: string): void {
     if (!this.ownTerm) return;
     const { term, leaseId } = this.ownTerm;
-    log.info(`no longer leading term ${term}: ${reason}`);
+    log.info(`resigned as leader of term ${term}: ${reason}`);
     this.ownTerm = null;
     this.known.resign();
     this.options.onLeadershipChange({ lease: null, leader: null, term: 0 });
@@ -229,7 +229,7 @@
 
   // Messages from the other controllers.
 
-  private receive(message: ElectionPeerMessage): void {
+  private receivePeerMessage(message: ElectionPeerMessage): void {
     switch (message.kind) {
       case "term announcement":
         this.receiveAnnouncement(message);
@@ -246,7 +246,7 @@
     }
   }
 
-  /** From now on this controller confirms no extension of an earlier term: `mayConfirmExtension` looks at the newest one known. */
+  /** Records the announced term, after which `mayConfirmExtension` confirms no extension of an earlier term. */
   private receiveAnnouncement({ from, term }: TermAnnouncement): void {
     const { node, send } = this.options;
     this.known.observeTerm(term);
@@ -261,7 +261,7 @@
       this.ownTerm === null &&
       mayConfirmExtension({
         nowMs: clock.nowMs(),
-        hasReadLeadership: this.known.hasBeenRead,
+        hasReadLeadership: this.known.hasReadLeadership,
         lastServedSentMs: stateStore.lastServedSentMs,
         lastRefusedMs: stateStore.lastRefusedMs,
         knownTerm: this.known.term,
@@ -270,17 +270,17 @@
     send(from, { kind: "extension vote", from: node, term, requestId, isGranted });
   }
 
-  // Hosts that refuse connections.
+  // Refused connections.
 
   /**
-   * Only a suspicion (a host without free sockets refuses, too), so nothing is concluded from it but that a new term may
-   * begin early: what the old leader may still do is as bounded as ever, by conditions on writes, fencing tokens and times.
+   * A refused connection only raises a suspicion, because a host without free sockets refuses as well. Its only effect is
+   * that a new term may begin early: write conditions, fencing tokens and lease times still bound the old leader.
    */
-  private peerRefused(peer: string, othersReachable: boolean): void {
+  private handlePeerRefusal(peer: string, othersReachable: boolean): void {
     const nowMs = this.options.clock.nowMs();
     if (this.ownTerm) {
-      // When all hosts refuse, the others see this one refuse as well, and may suspect it.
-      if (!othersReachable && this.livenessWrites.prolong(nowMs)) this.writeLiveness();
+      // When all hosts refuse connections, the other controllers see this host refuse as well and may suspect it.
+      if (!othersReachable && this.livenessWrites.extend(nowMs)) this.writeLiveness();
       return;
     }
     const { node, term } = this.known.leader;
@@ -289,11 +289,11 @@
     this.timer.checkAfter(0);
   }
 
-  /** Writes the leadership record anew, now and a few times more. */
+  /** Rewrites the leadership record, and repeats this every `LIVENESS_WRITE_MS` while liveness writes are active. */
   private writeLiveness(): void {
     const { clock } = this.options;
     const nowMs = clock.nowMs();
-    if (this.timer.isStopped || !this.ownTerm || !this.livenessWrites.areDue(nowMs)) return;
+    if (this.timer.isStopped || !this.ownTerm || !this.livenessWrites.isActive(nowMs)) return;
     this.store.writeLiveness(this.ownTerm, nowMs);
     clock.after(LIVENESS_WRITE_MS, () => this.tell({ kind: "liveness write due" }));
   }
--- a/src/coordination/leadership/electorOptions.ts
+++ b/src/coordination/leadership/electorOptions.ts
@@ -1,25 +1,27 @@
-/** What an elector is given by its controller. */
+/** The dependencies and settings of an elector. */
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { PeerMessage } from "../../protocol/peers/messages.js";
 import type { Clock } from "../../transport/clock.js";
 import type { LeadershipChange } from "../term/leadershipLease.js";
 
-/** What an elector uses of its controller. */
+/** The dependencies that the controller passes to its elector. */
 export interface ElectorOptions {
+  /** Name of this controller. */
   node: string;
-  /** Different in each process, so that a process does not take its former one's leadership for its own. */
+  /** Unique per process, so that a process does not take the leadership of its predecessor on this node for its own. */
   incarnation: string;
-  /** The other controllers. */
+  /** Names of the other controllers. */
   peers: string[];
   stateStore: StateStoreClient;
   clock: Clock;
-  /** A message may get lost; nothing is said of it. */
+  /** Sends a message without a delivery guarantee; a lost message is not reported. */
   send: (peer: string, message: PeerMessage) => void;
-  /** At least 0 and below 1. */
+  /** Returns a number of at least 0 and below 1. */
   random: () => number;
+  /** Called when the known leader changes, or a time limit of this controller's leadership lease. */
   onLeadershipChange: (change: LeadershipChange) => void;
-  /** The leadership lease's time to live. */
+  /** Time to live of the leadership lease. */
   leaseMs: number;
-  /** A controller that does not lead reads the leadership this often. */
-  probeMs: number;
+  /** Interval at which a controller that does not lead reads the leadership record. */
+  pollIntervalMs: number;
 }
--- a/src/coordination/leadership/leaderSuspicion.ts
+++ b/src/coordination/leadership/leaderSuspicion.ts
@@ -1,52 +1,55 @@
 /**
  * Decides when a leader whose host refuses connections is assumed to have failed, so that its leadership lease is ended
- * early. Never a proof that it has: what such a leader may still do is bounded by conditions on its writes, fencing tokens
- * and times in any case.
+ * early. The assumption may be wrong, which is safe: write conditions, fencing tokens and lease times bound what such a
+ * leader may still do.
  */
 
-/** A suspicion that nothing has confirmed for so long is dropped: the leader's lease has expired or been renewed by then. */
+/** A suspicion that is not confirmed within this time is dropped, as the leader's lease has expired or been renewed. */
 export const SUSPICION_MS = 4000;
-/** A leader that sees all hosts refuse writes its record this often meanwhile. */
+/** Interval at which a leader rewrites its record while all other hosts refuse its connections. */
 export const LIVENESS_WRITE_MS = 300;
-/** Nothing written for so long, though a leader that lives would have made its next liveness write: it has failed. */
+/** A live leader would have made its next liveness write within this time, so a leader without any write has failed. */
 const QUIET_MS = 450;
 
-/** What one read of the state store says of the leadership. */
+/** The result of one read of the leadership record. */
 export interface LeadershipRead {
   leader: string;
   term: number;
-  /** The state store's revision: counts every change, whoever made it. */
+  /** Revision of the state store, which grows with every change by any client. */
   revision: number;
+  /** Steady time at which the read was sent. */
   sentMs: number;
 }
 
-/** What raises a suspicion: a link to the leader has closed, and its host refuses a new one. */
-export interface RefusedLeader {
+/** The event that raises a suspicion: a link to the leader has closed and the leader's host refuses a new connection. */
+export interface ConnectionRefusal {
   leader: string;
   term: number;
-  /** Links to other controllers stand, so that it is not this controller's own links that are refused. */
+  /** True if links to other controllers are open or there are no others. The refusal alone then confirms the failure. */
   othersReachable: boolean;
+  /** Steady time of the refusal. */
   sinceMs: number;
 }
 
-interface Suspicion extends RefusedLeader {
-  /** The newest revision read since, and when it came in first; null: none yet. */
-  newest: { revision: number; receivedMs: number } | null;
+interface Suspicion extends ConnectionRefusal {
+  /** The newest revision read since the refusal and the time it was first received, or null before the first read. */
+  lastRead: { revision: number; receivedMs: number } | null;
 }
 
-/** Holds at most one suspicion: the newest. */
+/** Holds the newest suspicion and confirms or drops it with each read of the leadership record. */
 export class LeaderSuspicion {
   private suspicion: Suspicion | null = null;
 
-  raise(refused: RefusedLeader): void {
-    this.suspicion = { ...refused, newest: null };
+  raise(refused: ConnectionRefusal): void {
+    this.suspicion = { ...refused, lastRead: null };
   }
 
   /**
-   * True when that leader is to be assumed failed. While links to others stand, at once. When all hosts refuse, it may be
-   * the links alone, and a leader that lives goes on writing: so only once nothing was written between two reads. Without
-   * this a controller that outlived the leader and all others waited for the leadership lease's expiry, which at hundreds
-   * of workers took a third of the time that their leases leave.
+   * Returns true if the leader that was read is to be assumed failed. With links to other controllers open, a refusal is
+   * enough. When all hosts refuse connections, only the network may have failed, and a live leader keeps writing: the
+   * failure is then confirmed once two reads show no write in between. Without the second case, the only surviving
+   * controller waited until the leadership lease expired, which with hundreds of workers used a third of the time left on
+   * their leases.
    */
   isConfirmedBy(read: LeadershipRead, nowMs: number): boolean {
     const { suspicion } = this;
@@ -56,10 +59,13 @@
       this.suspicion = null;
       return false;
     }
-    const { newest } = suspicion;
+    const { lastRead } = suspicion;
     const isQuiet =
-      newest !== null && read.revision === newest.revision && read.sentMs - newest.receivedMs >= QUIET_MS;
-    if (newest?.revision !== read.revision) suspicion.newest = { revision: read.revision, receivedMs: nowMs };
+      lastRead !== null &&
+      read.revision === lastRead.revision &&
+      read.sentMs - lastRead.receivedMs >= QUIET_MS;
+    if (lastRead?.revision !== read.revision)
+      suspicion.lastRead = { revision: read.revision, receivedMs: nowMs };
     const isConfirmed = suspicion.othersReachable || isQuiet;
     if (isConfirmed) this.suspicion = null;
     return isConfirmed;
--- a/src/coordination/leadership/leadershipRecord.ts
+++ b/src/coordination/leadership/leadershipRecord.ts
@@ -1,34 +1,34 @@
 /**
- * The stored form of leadership: a counter of terms that is never removed, and the record of the present leader, attached
- * to that leader's lease. Whoever begins a term raises the counter, and every write of a leader is conditional on the
- * counter's version.
+ * The leadership keys in the state store: the term counter, which is never deleted, and the record of the current leader,
+ * which is attached to that leader's lease. A new leader increments the counter, and every write of a leader is
+ * conditional on the counter's version.
  */
 import { keys } from "../../bookkeeping/records.js";
 import type { Change, Item } from "../../bookkeeping/stateStoreClient.js";
 import { asNonEmptyString, asNonNegativeInteger, asObject } from "../../protocol/json.js";
 
-/** Who leads. Removed by the state store together with the leader's lease. */
+/** The record of the current leader. The state store deletes it when the leader's lease ends. */
 export interface LeadershipRecord {
   term: number;
   node: string;
-  /** The leader's process, as a node's new process is not the leader that its former one was. */
+  /** Identifies the leader's process, because a restarted process does not inherit its predecessor's leadership. */
   incarnation: string;
   leaseId: number;
 }
 
-/** Leadership as one read of the state store shows it. */
+/** The leadership keys as returned by one read of the state store. */
 export interface LeadershipView {
-  /** The state store's revision at the time of the read. */
+  /** Revision of the state store at the time of the read. */
   revision: number;
-  /** Version of the term's counter; 0: no term has begun yet. */
+  /** Version of the term counter, or 0 if no term has begun yet. */
   termVersion: number;
-  /** The newest term that has ever begun. */
+  /** The newest term that has begun, or 0 if there is none. */
   term: number;
-  /** Null: nobody leads. */
+  /** The current leader's record, or null if there is no leader. */
   record: LeadershipRecord | null;
 }
 
-/** Reads both records; what is missing or malformed in one of them counts as 0 or "". */
+/** Decodes the leadership keys. A missing or malformed field is decoded as 0 or "". */
 export function decodeLeadership(items: Item[], revision: number): LeadershipView {
   const view: LeadershipView = { revision, termVersion: 0, term: 0, record: null };
   for (const item of items) {
@@ -48,17 +48,17 @@
   return view;
 }
 
-/** Puts the counter of terms to that term. */
+/** Returns the change that sets the term counter. */
 export function termChange({ term, node }: LeadershipRecord): Change {
   return { put: keys.term, value: { n: term, node } };
 }
 
-/** Puts the leader's record, attached to its lease. */
+/** Returns the change that writes the leader's record, attached to its lease. */
 export function leadershipRecordChange({ term, node, incarnation, leaseId }: LeadershipRecord): Change {
   return { put: keys.leader, value: { n: term, node, life: incarnation, lease: leaseId }, lease: leaseId };
 }
 
-/** The version of the term's counter when the read shows that this very record was written; null otherwise. */
+/** Returns the version of the term counter if the read shows exactly the written record, and null otherwise. */
 export function termVersionIfWritten(written: LeadershipRecord, view: LeadershipView | null): number | null {
   const record = view?.record;
   const isSame =
--- a/src/coordination/leadership/leadershipRights.ts
+++ b/src/coordination/leadership/leadershipRights.ts
@@ -1,42 +1,42 @@
-/** Until when a leader may do what: the times of its lease, and of extensions that a majority has confirmed. */
+/** The time limits of a leader's rights, given by its lease and by extensions that a majority has confirmed. */
 import { leadershipLeaseUntilMs } from "../term/leadershipLease.js";
 import { EXTENSION_MS } from "./leaseExtension.js";
 
-/** A leader whose lease nobody renews or extends gives its term up so long after its last right has ended. */
+/** A leader resigns this long after its last right has expired without a renewal or an extension. */
 const RESIGN_AFTER_MS = 1000;
 
-/** Owns the times up to which one term's leader may write and acknowledge. */
+/** Tracks until when the leader of one term may write and may acknowledge heartbeats. */
 export class LeadershipRights {
   private extendedUntilMs = -Infinity;
 
   constructor(
-    /** Steady time at which the last successful renewal, or the lease itself, was asked for. */
+    /** Steady time at which the last successful renewal was sent or, before the first one, the request for the lease. */
     private renewalSentMs: number,
-    /** The leadership lease's time to live. */
+    /** Time to live of the leadership lease. */
     private readonly leaseMs: number,
   ) {}
 
-  /** The state store has renewed the lease, asked at that time. */
+  /** Applies a successful renewal that was sent at `sentMs`. */
   renew(sentMs: number): void {
     this.renewalSentMs = sentMs;
   }
 
-  /** A majority has extended the right to acknowledge heartbeats. */
+  /** Extends the right to acknowledge heartbeats, as confirmed by a majority. */
   extend(untilMs: number): void {
     this.extendedUntilMs = Math.max(this.extendedUntilMs, untilMs);
   }
 
-  /** Until then the leader may write and start tasks. */
+  /** Steady time until which the leader may write to the state store and start tasks. */
   get writeUntilMs(): number {
     return leadershipLeaseUntilMs(this.renewalSentMs, this.leaseMs);
   }
 
-  /** Until then heartbeats may be acknowledged. */
+  /** Steady time until which the leader may acknowledge heartbeats. */
   get acknowledgeUntilMs(): number {
     return Math.max(this.writeUntilMs, this.extendedUntilMs);
   }
 
-  /** Neither the state store nor a majority has given this leader any right for a while. */
+  /** Returns true once all rights have been expired for long enough that the leader must resign. */
   areLost(nowMs: number): boolean {
     return nowMs >= this.acknowledgeUntilMs + RESIGN_AFTER_MS && nowMs >= this.writeUntilMs + EXTENSION_MS;
   }
--- a/src/coordination/leadership/leadershipStore.ts
+++ b/src/coordination/leadership/leadershipStore.ts
@@ -1,4 +1,4 @@
-/** What the election reads from and writes to the state store. Knows no state of the election. */
+/** The election's requests to the state store. Holds no election state. */
 import { keys } from "../../bookkeeping/records.js";
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { Clock } from "../../transport/clock.js";
@@ -12,57 +12,57 @@
   type LeadershipView,
 } from "./leadershipRecord.js";
 
-/** A read of the leadership may take so long. */
+/** Timeout of a read of the leadership keys. */
 const READ_TIMEOUT_MS = 1500;
-/** A renewal may take so long: less than half a lease, so that there is time for another one. */
+/** Timeout of a renewal: less than half of the lease, which leaves time for a second attempt. */
 const RENEWAL_TIMEOUT_MS = 1300;
-/** Each of a campaign's two requests may take so long. */
+/** Timeout of each of a campaign's two requests. */
 const CAMPAIGN_REQUEST_TIMEOUT_MS = 1500;
-/** Ending a lease is worth trying for so long: it only spares others the wait for the lease's expiry. */
+/** Timeout of ending a lease, which is optional: without it the other controllers wait until the lease expires. */
 const END_LEASE_TIMEOUT_MS = 1000;
 
-/** A campaign's success. */
+/** The result of a won campaign. */
 export interface WonTerm {
   term: number;
-  /** Version of the term's counter, which every write of this term is conditional on. */
+  /** Version of the term counter, on which every write of this term is conditional. */
   termVersion: number;
   leaseId: number;
-  /** When the lease was asked for, on the steady clock: it counts from then. */
+  /** Steady time at which the lease was requested, from which its duration counts. */
   leaseRequestedMs: number;
 }
 
-/** What the store uses of its controller. */
+/** The store's dependencies. */
 export interface LeadershipStoreContext {
   node: string;
   incarnation: string;
   stateStore: Pick<StateStoreClient, "list" | "openLease" | "renewLease" | "endLease" | "compareAndSwap">;
   clock: Clock;
-  /** The leadership lease's time to live. */
+  /** Time to live of the leadership lease. */
   leaseMs: number;
 }
 
-/** Reads, begins, renews and ends leadership in the state store; each call is one attempt with a time limit of its own. */
+/** Reads, acquires, renews and ends leadership in the state store. Each call is one attempt with its own timeout. */
 export class LeadershipStore {
   constructor(private readonly context: LeadershipStoreContext) {}
 
-  /** Null when the state store did not answer in time. `sentMs` is the time of the call. */
+  /** Returns null if the state store did not answer in time. `sentMs` is the steady time of the call. */
   async read(sentMs: number): Promise<LeadershipView | null> {
     const list = await this.context.stateStore.list(keys.leadershipPrefix, sentMs + READ_TIMEOUT_MS);
     return list.kind === "ok" ? decodeLeadership(list.items, list.revision) : null;
   }
 
-  /** Renews a leadership lease. `sentMs` is the time of the call. */
+  /** Renews a leadership lease. `sentMs` is the steady time of the call. */
   renew(leaseId: number, sentMs: number): Promise<"ok" | "ended" | "failed"> {
     return this.context.stateStore.renewLease(leaseId, sentMs + RENEWAL_TIMEOUT_MS);
   }
 
-  /** Resolves after an answer or the time allowed; nothing is said of the outcome. */
+  /** Resolves after a response or the timeout, without reporting the outcome. */
   endLease(leaseId: number): Promise<void> {
     const { clock, stateStore } = this.context;
     return stateStore.endLease(leaseId, clock.nowMs() + END_LEASE_TIMEOUT_MS);
   }
 
-  /** Writes this leader's record again, so that the state store's revision moves (see `LivenessWrites`). */
+  /** Rewrites this leader's record, so that the revision of the state store grows (see `LivenessWrites`). */
   writeLiveness(led: { term: number; termVersion: number; leaseId: number }, nowMs: number): void {
     void this.context.stateStore.compareAndSwap(
       [{ key: keys.term, version: led.termVersion }],
@@ -72,8 +72,9 @@
   }
 
   /**
-   * Tries to begin the term after the one that was read: opens a lease, then raises the term by compare-and-swap. A swap
-   * whose outcome is unknown is read back. Calls `onFinished` once, with null when this controller does not lead.
+   * Campaigns for the term after the one that was read: opens a lease, then increments the term counter by
+   * compare-and-swap. After an unknown outcome the record is read back. Calls `onFinished` once, with null if this
+   * controller did not become the leader.
    */
   async campaign(view: LeadershipView, onFinished: (won: WonTerm | null) => void): Promise<void> {
     const { clock, stateStore, leaseMs } = this.context;
@@ -93,7 +94,7 @@
       clock.nowMs() + CAMPAIGN_REQUEST_TIMEOUT_MS,
     );
     let termVersion = outcome.kind === "ok" ? outcome.revision : null;
-    // Perhaps carried out: read, never guess.
+    // The state store may have executed the compare-and-swap; only a read shows it.
     if (outcome.kind === "unknown")
       termVersion = termVersionIfWritten(record, await this.read(clock.nowMs()));
     if (termVersion === null) {
--- a/src/coordination/leadership/leaseExtension.ts
+++ b/src/coordination/leadership/leaseExtension.ts
@@ -1,33 +1,35 @@
 /**
- * Extension of a leader's right to acknowledge heartbeats while the state store refuses everybody. An outage of the store
- * must not cost running tasks, so a majority of the controllers may confirm that the leader goes on, for a short time and
- * without the right to write.
+ * Extension of a leader's right to acknowledge heartbeats during an outage of the state store. An outage must not stop
+ * running tasks, so a majority of the controllers may extend that right for a short time. The right to write is never
+ * extended.
  */
 import { shortenedByDrift } from "../term/clockDrift.js";
 import type { ExtensionVote } from "./electorMessages.js";
 import { isMajority } from "./quorum.js";
 
-/** An extension counts for so long, from when it was asked for. */
+/** Duration of an extension, counted from its request. */
 export const EXTENSION_MS = 2000;
-/** A controller confirms an extension only if the state store refused it this recently, and served it no later than that. */
+/** A controller confirms an extension only if its last request to the state store failed at most this long ago. */
 const REFUSED_WITHIN_MS = 1500;
 
-/** What a controller knows when it is asked to confirm an extension. */
+/** The state of a controller that decides on an extension request. All times are steady. */
 export interface ExtensionFacts {
   nowMs: number;
-  /** This process has read the leadership from the state store at least once. */
+  /** True if this process has read the leadership keys at least once. */
   hasReadLeadership: boolean;
+  /** When the last request that the state store served was sent; -Infinity if there is none. */
   lastServedSentMs: number;
+  /** When a request last failed or was refused as unavailable; -Infinity if none was. */
   lastRefusedMs: number;
-  /** The latest term that this controller knows of. */
+  /** The newest term that this controller knows. */
   knownTerm: number;
   requestedTerm: number;
 }
 
-/** May this controller confirm that the state store refuses everybody, and that it knows of no later term? */
+/** Returns true if the state store is unavailable to this controller as well and the controller knows no later term. */
 export function mayConfirmExtension(facts: ExtensionFacts): boolean {
   return (
-    // A restarted controller knows nothing until it has read the state store.
+    // A restarted controller does not know the newest term before its first read.
     facts.hasReadLeadership &&
     facts.knownTerm <= facts.requestedTerm &&
     facts.lastRefusedMs > facts.lastServedSentMs &&
@@ -38,12 +40,13 @@
 interface OpenRequest {
   sentMs: number;
   term: number;
+  /** Names of the controllers that have granted it, including the leader itself. */
   confirmedBy: Set<string>;
 }
 
-/** A leader's requests for extension, and the votes that came in for each. */
+/** A leader's open extension requests and the votes received for each. */
 export class ExtensionRequests {
-  /** Counted on over the terms of one process, so that no vote is taken for an answer to another request. */
+  /** Is not reset between the terms of a process, so that a late vote never matches a newer request. */
   private lastRequestId = 0;
   private readonly open = new Map<number, OpenRequest>();
 
@@ -52,12 +55,12 @@
     private readonly peers: readonly string[],
   ) {}
 
-  /** A term begins: votes for requests of an earlier one count no more. */
+  /** Drops all requests, so that votes for an earlier term are ignored. */
   clear(): void {
     this.open.clear();
   }
 
-  /** Opens a request that this controller itself confirms, drops those that are too old; returns its id. */
+  /** Opens a request with this controller's own vote, drops requests older than an extension, and returns the new id. */
   add(term: number, sentMs: number): number {
     const requestId = ++this.lastRequestId;
     this.open.set(requestId, { sentMs, term, confirmedBy: new Set([this.node]) });
@@ -66,7 +69,7 @@
     return requestId;
   }
 
-  /** Counts a vote for the leader of that term. Returns the extension's end once a majority confirms it, or else null. */
+  /** Counts a vote for the leader of `leadingTerm`. Returns the extension's end, or null without a majority. */
   receiveVote(vote: ExtensionVote, leadingTerm: number): number | null {
     const request = this.open.get(vote.requestId);
     if (!vote.isGranted || !request) return null;
--- a/src/coordination/leadership/livenessWrites.ts
+++ b/src/coordination/leadership/livenessWrites.ts
@@ -1,22 +1,22 @@
 /**
- * When a leader writes its record again and again to show the others that it lives. They see its host refuse connections,
- * as it sees theirs, and end the lease of a leader that writes nothing (see `LeaderSuspicion`). A leader that happened to
- * write nothing while the links between controllers were refused lost its lease, and 50 workers theirs with it.
+ * Decides how long a leader rewrites its record to show that it is alive. When the links between controllers are refused,
+ * the other controllers suspect the leader and end its lease if they see no writes (see `LeaderSuspicion`). Without
+ * liveness writes a leader that had nothing to write lost its lease that way, and 50 workers lost theirs as a result.
  */
 import { SUSPICION_MS } from "./leaderSuspicion.js";
 
-/** Owns until when liveness writes go on. */
+/** Tracks until when liveness writes are active. */
 export class LivenessWrites {
   private untilMs = -Infinity;
 
-  /** All hosts refuse: writes go on for as long as a suspicion counts. True when none were being made before. */
-  prolong(nowMs: number): boolean {
-    const wereDue = this.areDue(nowMs);
+  /** Keeps liveness writes active for as long as a suspicion lasts. Returns true if they were not active before. */
+  extend(nowMs: number): boolean {
+    const wereDue = this.isActive(nowMs);
     this.untilMs = nowMs + SUSPICION_MS;
     return !wereDue;
   }
 
-  areDue(nowMs: number): boolean {
+  isActive(nowMs: number): boolean {
     return nowMs < this.untilMs;
   }
 }
--- a/src/coordination/leadership/ownTerm.ts
+++ b/src/coordination/leadership/ownTerm.ts
@@ -1,6 +1,6 @@
 /**
- * The term that this controller leads: tells the peers of it, collects their confirmations and their votes for an
- * extension, and publishes the leader's rights whenever one of them moves. Thrown away with the term.
+ * The term that this controller leads. Announces the term to the peers, collects their confirmations and extension votes,
+ * and publishes the leader's rights whenever one of them changes. Is discarded when the term ends.
  */
 import type { ElectorOptions } from "./electorOptions.js";
 import type { ExtensionVote, TermAcknowledgement } from "./electorMessages.js";
@@ -9,13 +9,13 @@
 import type { ExtensionRequests } from "./leaseExtension.js";
 import { TermConfirmation } from "./termConfirmation.js";
 
-/** What a term uses of its elector. */
+/** The term's dependencies. */
 export type OwnTermOptions = Pick<
   ElectorOptions,
   "node" | "peers" | "clock" | "send" | "leaseMs" | "onLeadershipChange"
 >;
 
-/** Owns the rights and confirmations of the term that this controller leads. */
+/** Owns the rights of the term that this controller leads, and its confirmations by the peers. */
 export class OwnTerm {
   readonly term: number;
   readonly termVersion: number;
@@ -42,14 +42,14 @@
     this.publish();
   }
 
-  /** The state store has renewed the lease, asked at that time. */
-  renewed(sentMs: number): void {
+  /** Applies a successful renewal that was sent at `sentMs`. */
+  applyRenewal(sentMs: number): void {
     this.rights.renew(sentMs);
     this.announce();
     this.publish();
   }
 
-  /** Asks the peers to extend the right to acknowledge heartbeats, as the lease could not be renewed. */
+  /** Asks the peers to extend the right to acknowledge heartbeats after a failed renewal. */
   requestExtension(): void {
     const { node, peers, clock, send } = this.options;
     const { term } = this;
@@ -57,7 +57,7 @@
     for (const peer of peers) send(peer, { kind: "extension request", from: node, term, requestId });
   }
 
-  /** Neither the state store nor a majority has given this leader any right for a while. */
+  /** Returns true once all rights have been expired for long enough that the leader must resign. */
   isLost(): boolean {
     return this.rights.areLost(this.options.clock.nowMs());
   }
@@ -75,7 +75,7 @@
     this.publish();
   }
 
-  /** Tells all peers that have not confirmed the term of it, until a majority has. */
+  /** Announces the term to each peer that has not confirmed it, until a majority has. */
   private announce(): void {
     if (this.confirmation.isComplete) return;
     const { node, peers, send } = this.options;
@@ -93,7 +93,7 @@
         termVersion,
         writeUntilMs: rights.writeUntilMs,
         acknowledgeUntilMs: rights.acknowledgeUntilMs,
-        earlierLeadersSilentFromMs: confirmation.earlierLeadersSilentFromMs,
+        earlierLeadershipExpiredFromMs: confirmation.earlierLeadershipExpiredFromMs,
       },
       leader: this.options.node,
       term,
--- a/src/coordination/leadership/quorum.ts
+++ b/src/coordination/leadership/quorum.ts
@@ -1,4 +1,4 @@
-/** Is that more than half of all controllers, ourselves included? */
-export function isMajority(votes: number, controllers: number): boolean {
-  return votes * 2 > controllers;
+/** Returns true if `votes` is more than half of `controllerCount`, which includes this controller. */
+export function isMajority(votes: number, controllerCount: number): boolean {
+  return votes * 2 > controllerCount;
 }
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -18,11 +18,11 @@
 
   /** True if the worker's lease has certainly expired, whichever controllers may have acknowledged its heartbeats. */
   hasExpired(machine: Machine, nowMs: number): boolean {
-    const { earlierLeadersSilentFromMs } = this.lease;
+    const { earlierLeadershipExpiredFromMs } = this.lease;
     // No leader of an earlier term can have renewed the lease after `earlierLeadersSilentFromMs`.
-    const lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, earlierLeadersSilentFromMs);
+    const lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, earlierLeadershipExpiredFromMs);
     if (nowMs < leaseExpiredFromMs(lastAcknowledgedMs, this.leaseS)) return false;
-    const facts = this.servers.acknowledgementFacts(machine.zone, earlierLeadersSilentFromMs);
+    const facts = this.servers.acknowledgementFacts(machine.zone, earlierLeadershipExpiredFromMs);
     return nowMs >= leaseExpiredEverywhereFromMs(lastAcknowledgedMs, facts, this.leaseS);
   }
 }
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -155,7 +155,7 @@
     }
     recordFailure(job, machine, status.cause, nowMs);
     if (status.cause === "error") this.context.cordon.cordonIfFaulty(machine);
-    if (job.spec.kind === "gang") attempts.breakGang(job);
+    if (job.spec.kind === "gang") attempts.restartGang(job);
   }
 }
 
--- a/src/coordination/records/recordLoader.ts
+++ b/src/coordination/records/recordLoader.ts
@@ -119,6 +119,7 @@
     // The previous leader may have ended after a gang lost a member but before the other members were stopped. These
     // would otherwise wait for the lost member forever.
     for (const job of jobs.values())
-      if (job.spec.kind === "gang" && job.attempts.size > 0 && job.pendingCount > 0) attempts.breakGang(job);
+      if (job.spec.kind === "gang" && job.attempts.size > 0 && job.pendingCount > 0)
+        attempts.restartGang(job);
   }
 }
--- a/src/coordination/records/recordWriter.ts
+++ b/src/coordination/records/recordWriter.ts
@@ -90,7 +90,7 @@
 
   /** Composes and sends the write that is due, or postpones it if the write rate is exhausted. */
   writePendingChanges(): void {
-    this.context.queue.takeDue();
+    this.context.queue.clearRequest();
     const { lease, queue, stateStore } = this.context;
     if (!lease.isLoaded || queue.isWriting) return;
     if (!lease.mayWrite()) {
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -79,7 +79,7 @@
   /** Runs one cycle if this controller may write, and sets the pause before the next. */
   runCycle(): void {
     const { clock, cycles, lagMs } = this.context;
-    cycles.takeDue();
+    cycles.clearRequest();
     if (!this.mayDecide()) return;
     const startMs = clock.nowMs();
     const guaranteed = this.guaranteedJobs.current();
--- a/src/coordination/term/attempts.ts
+++ b/src/coordination/term/attempts.ts
@@ -1,7 +1,4 @@
-/**
- * The lifecycle of attempts, the one place that attaches them to jobs, machines and quotas, and takes them off
- * again.
- */
+/** The lifecycle of attempts. Only this module attaches attempts to jobs, machines and quotas and detaches them. */
 import type { Attempt, Job, Machine, StopRequest } from "../../bookkeeping/workload.js";
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Clock } from "../../transport/clock.js";
@@ -10,16 +7,16 @@
 import type { JobRegistry } from "./jobRegistry.js";
 import { DEFERRED_WRITE_MS, type WriteRequests } from "./writeQueue.js";
 
-/** Time that a task gets beyond what saving its state takes. */
+/** Time given to a task on a graceful stop beyond the time that saving a checkpoint takes. */
 const SAVE_MARGIN_S = 1;
 
-/** Sends a machine the commands that are due to it. */
+/** Sends pending commands to machines. */
 export interface CommandQueue {
-  /** At once, or after the delivery that is on its way there; with `raiseToken` under a higher fencing token. */
+  /** Sends now, or after the delivery in flight to the machine; with `raiseToken`, under a higher fencing token. */
   sendCommands(machine: Machine, raiseToken?: boolean): void;
 }
 
-/** What the lifecycle of attempts uses of the term. */
+/** The dependencies of `Attempts`, owned by the term. */
 export interface AttemptsContext {
   clock: Clock;
   jobs: JobRegistry;
@@ -32,8 +29,8 @@
 }
 
 /**
- * Owns the lifecycle of attempts: from the plan, through stops, to the proof that they are gone. It keeps the job's, the
- * machine's and the quota's view of each attempt in step.
+ * Owns the lifecycle of attempts, from placement through stop requests to the proof that the task is gone. Keeps the job,
+ * the machine and the quota usage consistent for each attempt.
  */
 export class Attempts {
   private unusedNumber: number;
@@ -42,19 +39,19 @@
     this.unusedNumber = context.firstNumber;
   }
 
-  /** A number that no other attempt of any term has. */
+  /** Returns an attempt number that is unique across all terms. */
   nextNumber(): number {
     return this.unusedNumber++;
   }
 
-  /** From here on the attempt holds resources and quota. */
+  /** Adds an attempt, which holds resources and quota from then on. */
   attach(attempt: Attempt): void {
     attempt.job.attach(attempt);
     attempt.machine.attach(attempt);
     this.context.usage.add(attempt.job.spec, 1);
   }
 
-  /** The attempt is proved gone, or was never sent: resources and quota are free again. */
+  /** Releases resources and quota of an attempt that is proved gone or whose start command was never sent. */
   confirmGone(attempt: Attempt): void {
     if (!attempt.machine.attempts.has(attempt)) return;
     const { job, machine } = attempt;
@@ -67,7 +64,7 @@
     this.context.writes.requestWrite(job.canFinalize ? 0 : DEFERRED_WRITE_MS);
   }
 
-  /** Stops it within that time; one that is being stopped already can only get less time. */
+  /** Stops an attempt within `graceS`. A repeated stop request can only shorten the grace period. */
   stopAttempt(attempt: Attempt, graceS: number): void {
     attempt.machine.revision++;
     if (attempt.stop && graceS >= attempt.stop.graceS) return;
@@ -76,12 +73,12 @@
       this.context.commands.sendCommands(attempt.machine);
       return;
     }
-    // Never sent, so there is nothing to stop; but without it the rest of its gang would never start.
+    // The start command was never sent, so there is nothing to stop, but the rest of a gang would wait for it forever.
     this.confirmGone(attempt);
-    if (attempt.job.spec.kind === "gang") this.breakGang(attempt.job);
+    if (attempt.job.spec.kind === "gang") this.restartGang(attempt.job);
   }
 
-  /** Stops a task with the time that saving its state takes; a gang only ever as a whole. */
+  /** Stops an attempt, with time to save a checkpoint. All attempts of a gang are stopped together. */
   stopGracefully(attempt: Attempt): void {
     const { spec } = attempt.job;
     const graceS = spec.checkpointS > 0 ? spec.saveS + SAVE_MARGIN_S : 0;
@@ -90,7 +87,7 @@
     else this.stopAttempt(attempt, graceS);
   }
 
-  /** The job is cancelled, at that time of day: stops its tasks at once. */
+  /** Records the cancellation at wall-clock time `cancelledAt` and stops all attempts of the job without grace. */
   cancelJob(job: Job, cancelledAt: Date): void {
     job.cancelledAt = cancelledAt;
     this.context.jobs.recordCancellation();
@@ -98,41 +95,41 @@
     if (job.canFinalize) this.context.writes.requestWrite(0);
   }
 
-  /** The task is done, and with it the whole of a gang; its record is written soon. */
+  /** Records that a task, and with it its whole gang, is done, and requests a write of the record. */
   markTaskDone(job: Job, task: number): void {
     if (!job.markDone(task)) return;
-    // A gang completes together: when one task is done, all of them are.
+    // A gang completes as a whole: when one of its tasks is done, all of them are.
     if (job.spec.kind === "gang") {
       for (let other = 0; other < job.spec.tasks; other++) job.markDone(other);
-      // A member that was started again after its gang was done would wait for the others for ever.
+      // An attempt that was started after its gang was done would wait for its peers forever.
       for (const attempt of [...job.attempts]) this.stopAttempt(attempt, 0);
     }
     this.context.writes.requestWrite(job.canFinalize ? 0 : DEFERRED_WRITE_MS);
   }
 
-  /** An attempt ended without an exit that was seen: with its machine, its epoch, by lease expiry or a higher fencing token. */
+  /** Handles an attempt without an observed exit: its machine, epoch or lease ended, or a higher token fenced it. */
   markLost(attempt: Attempt): void {
     const { job } = attempt;
-    log.debug(() => `${job.id}/${attempt.task} is gone from ${attempt.machine.name}`);
+    log.debug(() => `${job.id}/${attempt.task}: attempt on ${attempt.machine.name} was lost`);
     this.confirmGone(attempt);
-    if (job.spec.kind === "gang") this.breakGang(job);
+    if (job.spec.kind === "gang") this.restartGang(job);
   }
 
-  /** A gang that lost a member starts again as a whole: the others are stopped. */
-  breakGang(job: Job): void {
+  /** Stops the remaining attempts of a gang that has lost one, so that the gang restarts as a whole. */
+  restartGang(job: Job): void {
     if (job.isComplete) return;
     for (const attempt of [...job.attempts]) this.stopAttempt(attempt, 0);
   }
 }
 
-/** A worker gives up a fetch that no attempt waits for any more. */
+/** Records that the worker abandons an image fetch that no attempt on the machine needs any more. */
 function abandonFetch(machine: Machine, image: string): void {
   if (!machine.images.isFetching(image)) return;
   for (const attempt of machine.attempts) if (attempt.job.spec.image === image) return;
   machine.abandonImageFetch(image);
 }
 
-/** A stop that is decided now and has not been sent yet. */
+/** Creates a stop request that has not been sent yet. */
 export function newStopRequest(nowMs: number, graceS: number): StopRequest {
   return { sinceMs: nowMs, graceS, isSent: false, lastSentMs: -Infinity };
 }
--- a/src/coordination/term/clockDrift.ts
+++ b/src/coordination/term/clockDrift.ts
@@ -1,17 +1,17 @@
 /**
- * How far apart the steady clocks of two machines may run. Every time span that one machine grants and another one counts
- * is widened or shortened by it, so that whoever loses a right loses it first.
+ * Corrections for the drift between the steady clocks of two machines. Every duration that one machine grants and another
+ * one measures is lengthened or shortened, so that the holder of a right loses it before the other side relies on that.
  */
 
-/** Bound on the drift of one machine's steady clock, as a fraction of the time that has passed. */
+/** Maximum drift of one machine's steady clock, as a fraction of the elapsed time. */
 export const CLOCK_DRIFT = 0.0005;
 
-/** At least this much of that time has passed here, once it has passed on another machine. */
+/** Returns a duration on this machine's clock that ends before `duration` has elapsed on another machine's clock. */
 export function shortenedByDrift(duration: number): number {
   return duration * (1 - 2 * CLOCK_DRIFT);
 }
 
-/** Once this much time has passed here, that time has certainly passed on another machine. */
+/** Returns a duration on this machine's clock after which `duration` has elapsed on another machine's clock. */
 export function lengthenedByDrift(duration: number): number {
   return duration * (1 + 2 * CLOCK_DRIFT);
 }
--- a/src/coordination/term/cycleRequests.ts
+++ b/src/coordination/term/cycleRequests.ts
@@ -1,21 +1,21 @@
-/** When the term's next scheduling cycle begins. */
+/** Schedules the term's scheduling cycles. */
 import type { Clock } from "../../transport/clock.js";
 
-/** Shortest time from a request to its cycle: what arrives within it is placed together. */
+/** Minimum time from a request to its cycle, so that jobs that arrive within it are placed together. */
 const CYCLE_DELAY_MS = 3;
 
-/** Owns when the next scheduling cycle begins; any part of the term may request one. */
+/** Decides when the next scheduling cycle begins. Any component of the term may request one. */
 export class CycleRequests {
   private isRequested = false;
   private notBeforeMs = -Infinity;
 
   constructor(
     private readonly clock: Clock,
-    /** Called when a cycle is due: it must only post a message to the leader. */
+    /** Called when a cycle is due. Must only post a message to the leader. */
     private readonly onDue: () => void,
   ) {}
 
-  /** Requests that come before the cycle begins share it. */
+  /** Requests a cycle. Requests before that cycle begins share it. */
   requestCycle(): void {
     if (this.isRequested) return;
     this.isRequested = true;
@@ -23,12 +23,12 @@
     this.clock.after(waitMs, this.onDue);
   }
 
-  /** The due cycle begins: later requests are for the next one. */
-  takeDue(): void {
+  /** Must be called when a cycle begins; later requests are for the next cycle. */
+  clearRequest(): void {
     this.isRequested = false;
   }
 
-  /** Cycles that are requested from now on begin no sooner than that steady time. */
+  /** Delays cycles that are requested from now on until at least the given steady time. */
   pauseUntil(notBeforeMs: number): void {
     this.notBeforeMs = notBeforeMs;
   }
--- a/src/coordination/term/fencingTokens.ts
+++ b/src/coordination/term/fencingTokens.ts
@@ -1,19 +1,19 @@
 /**
- * Fencing tokens and attempt numbers: each term has a range of its own, above those of all earlier terms. Both stay exact
- * in a double: 29 bits of term, 24 bits of counter.
+ * Fencing tokens and attempt numbers. Each term has its own range, above the ranges of all earlier terms. The numbers are
+ * exact in a double: 29 bits of term and 24 bits of counter.
  */
 
-/** Fencing tokens that each term owns. */
+/** Number of fencing tokens per term. */
 export const TOKENS_PER_TERM = 2 ** 24;
-/** Attempt numbers that each term owns. */
+/** Number of attempt numbers per term. */
 export const ATTEMPTS_PER_TERM = 2 ** 24;
 
-/** The lowest fencing token of a term: higher than any of an earlier one. */
+/** Returns the lowest fencing token of a term, which is higher than all tokens of earlier terms. */
 export function firstFencingToken(term: number): number {
   return term * TOKENS_PER_TERM;
 }
 
-/** The lowest attempt number of a term: higher than any of an earlier one. */
+/** Returns the lowest attempt number of a term, which is higher than all attempt numbers of earlier terms. */
 export function firstAttemptNumber(term: number): number {
   return term * ATTEMPTS_PER_TERM;
 }
--- a/src/coordination/term/jobRegistry.ts
+++ b/src/coordination/term/jobRegistry.ts
@@ -1,17 +1,17 @@
-/** The live jobs of a term, shared by its parts. */
+/** The live jobs of a term, shared by its components. */
 import type { Job } from "../../bookkeeping/workload.js";
 
-/** Owns the set of live jobs that the term's leader knows from their records. */
+/** Owns the live jobs that the leader has read from the state store. */
 export class JobRegistry {
   private readonly jobs = new Map<string, Job>();
   private changeCount = 0;
 
-  /** The jobs by their id, for decisions that look jobs up. */
+  /** A read-only view of the jobs by id. */
   get byId(): ReadonlyMap<string, Job> {
     return this.jobs;
   }
 
-  /** Grows whenever a job is added, removed or cancelled: what was derived from the set then has to be derived again. */
+  /** Grows whenever a job is added, removed or cancelled; values derived from the jobs must then be recomputed. */
   get revision(): number {
     return this.changeCount;
   }
@@ -38,7 +38,7 @@
     this.jobs.delete(id);
   }
 
-  /** A job in the set was cancelled. */
+  /** Must be called when a job is cancelled; increments `revision`. */
   recordCancellation(): void {
     this.changeCount++;
   }
--- a/src/coordination/term/leadershipLease.ts
+++ b/src/coordination/term/leadershipLease.ts
@@ -1,35 +1,35 @@
-/** What an election publishes to the other parts of a controller: who leads, and what the leader may do until when. */
+/** The result of the election for the other components of a controller: the leader and its time-limited rights. */
 import { shortenedByDrift } from "./clockDrift.js";
 
-/** The leader stops this much before its lease can have expired, so that nothing it has begun outlasts the lease. */
+/** The leader's rights end this long before its lease can expire, so that no started operation outlasts the lease. */
 const LEADERSHIP_LEASE_MARGIN_MS = 20;
 
-/** A leader's rights, each with its end on this process's steady clock. */
+/** The rights of this controller as leader of a term. All times are on this process's steady clock. */
 export interface LeadershipLease {
   term: number;
-  /** Version of the term's key in the state store: every write of this term is conditional on it. */
+  /** Version of the term counter in the state store, on which every write of this term is conditional. */
   termVersion: number;
-  /** Until then the leader may write and start tasks. */
+  /** Time until which the leader may write to the state store and start tasks. */
   writeUntilMs: number;
-  /** Until then heartbeats may be acknowledged; never less than `writeUntilMs`. */
+  /** Time until which heartbeats may be acknowledged; at least `writeUntilMs`. */
   acknowledgeUntilMs: number;
-  /** From then on no earlier leader can acknowledge anything; Infinity while that is unknown. */
-  earlierLeadersSilentFromMs: number;
+  /** Time from which no earlier leader can acknowledge heartbeats; Infinity while it is unknown. */
+  earlierLeadershipExpiredFromMs: number;
 }
 
-/** The state of the election as this controller sees it. */
+/** The state of the election as known to this controller. */
 export interface LeadershipChange {
-  /** Null: this controller does not lead. The same term comes again whenever one of its times moves. */
+  /** The leadership lease, published again when one of its times changes; null if this controller does not lead. */
   lease: LeadershipLease | null;
-  /** Name of the leader as far as known; null: nobody. */
+  /** Name of the known leader, or null if there is none. */
   leader: string | null;
-  /** That leader's term. */
+  /** Term of the known leader. */
   term: number;
 }
 
 /**
- * Steady time until which a leader may rely on its leadership lease, counted from when its renewal was sent: the state
- * store counts from later on, and its clock may be the faster one.
+ * Returns the steady time until which a leader may rely on its leadership lease. The time counts from the sending of the
+ * renewal, which is before the state store counts from, and allows for a state store whose clock runs faster.
  */
 export function leadershipLeaseUntilMs(renewalSentMs: number, ttlMs: number): number {
   return renewalSentMs + shortenedByDrift(ttlMs) - LEADERSHIP_LEASE_MARGIN_MS;
--- a/src/coordination/term/leaseProofs.ts
+++ b/src/coordination/term/leaseProofs.ts
@@ -1,35 +1,36 @@
 /**
- * Proofs that a task is on no machine any more. Everything that frees resources or quota, or starts a task a second time,
- * goes through one of these (rules `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`).
+ * Proofs that a task no longer runs on any machine. Every release of resources or quota and every restart of a task
+ * requires one of them (rules `ran_twice`, `quota`, `wrong_place`, `ran_cancelled`).
  */
 import { lengthenedByDrift } from "./clockDrift.js";
 
-/** Allowance for a worker that kills its tasks a moment after its lease has expired. */
+/** Allows for a worker that kills its tasks shortly after its lease has expired. */
 const KILL_MARGIN_MS = 50;
 
-/** What the leader knows of a start command that it, or an earlier leader, may have sent. */
+/** The leader's knowledge of a start command that it or an earlier leader may have sent. */
 export interface StartFacts {
-  /** Highest fencing token a start command was sent under; -1: this leader has sent none. */
+  /** Highest fencing token under which this leader sent the start command, or -1 if it has not sent one. */
   sentToken: number;
-  /** Worker's epoch that the start command named. */
+  /** The worker's epoch named in the start command. */
   sentEpoch: number;
-  /** An earlier leader may have sent a start command that this one knows nothing of. */
+  /** True if an earlier leader may have sent a start command that this leader does not know. */
   isInherited: boolean;
 }
 
-/** What a heartbeat says of the worker that sent it. */
+/** The state of a worker as reported in its heartbeat. */
 export interface HeartbeatFacts {
   epoch: number;
-  /** Highest fencing token that the worker had seen. */
+  /** Highest fencing token that the worker had seen when it sent the heartbeat. */
   fencingToken: number;
 }
 
 /**
- * Does a heartbeat that does not list the task prove it gone? The heartbeat must be the newest of its machine.
+ * Returns true if a heartbeat that does not list the task proves that the task is gone. The heartbeat must be the newest
+ * one of its machine.
  *
- * A start command still in flight carries at most `sentToken` (an inherited one: less than `firstTokenOfTerm`). Once the
- * worker has seen a higher token, it refuses such a command, so what its heartbeat says under that higher token stays
- * true. A start command is also refused in any epoch but the one it names.
+ * A start command still in flight carries at most `sentToken`; an inherited one carries less than `firstTokenOfTerm`. A
+ * worker that has seen a higher token refuses the command, so the task stays absent after a heartbeat under that token.
+ * The worker also refuses a start command that names a different epoch.
  */
 export function absenceProvesTaskGone(
   start: StartFacts,
@@ -43,28 +44,28 @@
 }
 
 /**
- * Steady time from which a silent worker has certainly killed its tasks. Its lease runs from when it sent the last
- * heartbeat that was acknowledged, which is before the acknowledging controller received it.
+ * Returns the steady time from which a worker without further acknowledgements has certainly killed its tasks. Its lease
+ * starts when it sends the last acknowledged heartbeat, which is before the acknowledging controller receives it.
  */
 export function leaseExpiredFromMs(lastPossibleAckMs: number, leaseS: number): number {
   return lastPossibleAckMs + lengthenedByDrift(leaseS * 1000) + KILL_MARGIN_MS;
 }
 
-/** What the leader knows of another controller that acknowledges heartbeats under its grants, in the leader's time. */
+/** The leader's knowledge of a controller that acknowledges heartbeats under grants, in times of the leader's clock. */
 export interface HeartbeatServerFacts {
-  /** After this it acknowledges nothing. */
+  /** Time after which the controller acknowledges no heartbeats. */
   grantUntilMs: number;
-  /** Every acknowledgement that it gave up to this time is known to the leader. */
+  /** Time up to which the leader knows all acknowledgements of the controller. */
   acknowledgementsKnownUntilMs: number;
-  /** Before this it may have given acknowledgements that the leader will never know of. */
+  /** Time before which the controller may have sent acknowledgements that the leader will never learn of. */
   acknowledgementsUnknownBeforeMs: number;
 }
 
 /**
- * Steady time at which a worker's lease has certainly expired, though other controllers acknowledge heartbeats as well;
- * Infinity while that can't be said. Sought is a time span of a lease's length in which certainly nobody has acknowledged
- * the worker: after the last known acknowledgement, and for each controller either up to where all of its own are known,
- * or after its grant.
+ * Returns the steady time at which a worker's lease has certainly expired although other controllers acknowledge
+ * heartbeats as well, or Infinity while it is unknown. Searches for an interval of one lease in which certainly no
+ * controller has acknowledged the worker. The interval starts after the last known acknowledgement. For each controller,
+ * it must end by the time up to which all acknowledgements are known, or start after the grant has expired.
  */
 export function leaseExpiredEverywhereFromMs(
   lastAckMs: number,
@@ -77,12 +78,13 @@
     fromMs = Math.max(fromMs, server.acknowledgementsUnknownBeforeMs);
     facts.push(server);
   }
-  // A later beginning can fall behind what another controller is known to have done, so all are looked at again.
+  // A later start can move the interval past the known acknowledgements of another controller, so all are checked again.
   for (let hasMoved = true; hasMoved;) {
     hasMoved = false;
     for (const server of facts) {
-      const isKnownSilent = server.acknowledgementsKnownUntilMs >= leaseExpiredFromMs(fromMs, leaseS);
-      if (isKnownSilent || server.grantUntilMs <= fromMs) continue;
+      const areAcknowledgementsKnown =
+        server.acknowledgementsKnownUntilMs >= leaseExpiredFromMs(fromMs, leaseS);
+      if (areAcknowledgementsKnown || server.grantUntilMs <= fromMs) continue;
       fromMs = server.grantUntilMs;
       hasMoved = true;
     }
--- a/src/coordination/term/machineRegistry.ts
+++ b/src/coordination/term/machineRegistry.ts
@@ -1,14 +1,14 @@
-/** The machines of a term, shared by its parts; each field of a machine has one part that changes it. */
+/** The machines of a term, shared by its components; each field of a machine is changed by one component only. */
 import { Machine } from "../../bookkeeping/workload.js";
 import type { Clock } from "../../transport/clock.js";
 
-/** Owns the set of machines that the term's leader knows, and the names of those that are certainly gone. */
+/** Owns the machines known to the leader, and the names of machines whose deletion the cloud has confirmed. */
 export class MachineRegistry {
   private readonly machines = new Map<string, Machine>();
   private readonly removed = new Set<string>();
 
   constructor(
-    /** The first fencing token of the term: a worker must have seen it before it gets work. */
+    /** The first fencing token of the term. A worker must have seen it before it is given work. */
     private readonly firstToken: number,
     private readonly clock: Clock,
   ) {}
@@ -25,7 +25,7 @@
     return this.machines.values();
   }
 
-  /** The machine of that name; one that was not known is added as booting, in that zone. */
+  /** Returns the machine with the given name. An unknown machine is added in state `booting`. */
   getOrCreate(name: string, zone: string): Machine {
     let machine = this.machines.get(name);
     if (!machine) {
@@ -35,17 +35,16 @@
     return machine;
   }
 
-  /** The cloud has confirmed the deletion of that name: any heartbeat or list that still names it is late. */
+  /** Returns true if the cloud has confirmed the deletion; a heartbeat or list with this name is then out of date. */
   isRemoved(name: string): boolean {
     return this.removed.has(name);
   }
 
-  /** The cloud has confirmed the deletion: the name does not return in this term. */
+  /** Records that the cloud has confirmed the deletion; the name is not used again in this term. */
   markRemoved(name: string): void {
     this.removed.add(name);
   }
 
-  /** Takes the machine out of the set. */
   remove(name: string): void {
     this.machines.delete(name);
   }
--- a/src/coordination/term/termLease.ts
+++ b/src/coordination/term/termLease.ts
@@ -1,10 +1,10 @@
-/** What a term's parts may do and until when: each asks here before it writes, starts or acknowledges anything. */
+/** The leadership lease as checked by a term's components before they write, start tasks or acknowledge heartbeats. */
 import type { Clock } from "../../transport/clock.js";
 import type { LeadershipLease } from "./leadershipLease.js";
 
 /**
- * The current term as its parts see it: what they may do, and until when. Owns the leadership lease that the elector last
- * published, and whether the term's records have been read.
+ * The rights of the current term and their time limits. Owns the leadership lease last published by the elector, and
+ * tracks whether the term's records have been loaded and whether the term is over.
  */
 export class TermLease {
   /** Steady time at which this controller began to lead the term. */
@@ -19,7 +19,7 @@
     this.startedMs = clock.nowMs();
   }
 
-  /** The elector has moved a time of this same term's lease. */
+  /** Replaces the lease with a newer one of the same term. */
   renew(lease: LeadershipLease): void {
     this.lease = lease;
   }
@@ -28,7 +28,7 @@
     return this.lease.term;
   }
 
-  /** Version of the term's key: every write of this term is conditional on it. */
+  /** Version of the term counter, on which every write of this term is conditional. */
   get termVersion(): number {
     return this.lease.termVersion;
   }
@@ -38,17 +38,17 @@
     return this.lease.acknowledgeUntilMs;
   }
 
-  /** Steady time from which no earlier leader can acknowledge a heartbeat; Infinity: not known yet. */
-  get earlierLeadersSilentFromMs(): number {
-    return this.lease.earlierLeadersSilentFromMs;
+  /** Steady time from which no earlier leader can acknowledge a heartbeat; Infinity while it is unknown. */
+  get earlierLeadershipExpiredFromMs(): number {
+    return this.lease.earlierLeadershipExpiredFromMs;
   }
 
-  /** May the leader write to the state store and start tasks at this moment? */
+  /** Returns true if the leader may currently write to the state store and start tasks. */
   mayWrite(): boolean {
     return this.clock.nowMs() < this.lease.writeUntilMs;
   }
 
-  /** The term's records have been read: before that nothing is known of jobs, attempts and cancellations. */
+  /** True once the term's records are loaded. Before that, jobs, attempts and cancellations are unknown. */
   get isLoaded(): boolean {
     return this.areRecordsLoaded;
   }
@@ -57,7 +57,7 @@
     this.areRecordsLoaded = true;
   }
 
-  /** Another term has begun, or this controller no longer leads: timers of this one have nothing left to do. */
+  /** True once another term has begun or this controller no longer leads. Timers of the term must then do nothing. */
   get isOver(): boolean {
     return this.hasEnded;
   }
--- a/src/coordination/term/writeQueue.ts
+++ b/src/coordination/term/writeQueue.ts
@@ -1,25 +1,25 @@
-/** When the term's next write to the state store begins. */
+/** Schedules the term's writes to the state store. */
 import type { Clock, Timer } from "../../transport/clock.js";
 
-/** Longest wait of results, so that many share one write; what ends a job is written at once. */
+/** Maximum delay of task results, so that many share one write. The end of a job is written without delay. */
 export const DEFERRED_WRITE_MS = 3000;
 
-/** Requests that what has changed is written to the state store. */
+/** Accepts requests to write pending changes to the state store. */
 export interface WriteRequests {
-  /** What waits is to be written within this time. */
+  /** Requests a write of all pending changes within the given delay. */
   requestWrite(delayMs: number): void;
 }
 
-/** Owns when the next write begins: requests that come together share one write, and at most one is in flight. */
+/** Decides when the next write begins. Concurrent requests share one write, and at most one write is in flight. */
 export class WriteQueue implements WriteRequests {
   private isInFlight = false;
-  /** Steady time of the requested write; Infinity: none is requested. */
+  /** Steady time of the requested write, or Infinity if none is requested. */
   private dueMs = Infinity;
   private timer: Timer | null = null;
 
   constructor(
     private readonly clock: Clock,
-    /** Called when a write is due, within `requestWrite` or by a timer: it must only post a message to the leader. */
+    /** Called when a write is due, from `requestWrite` or a timer. Must only post a message to the leader. */
     private readonly onDue: () => void,
   ) {}
 
@@ -27,7 +27,7 @@
     return this.isInFlight;
   }
 
-  /** While a write is in flight this does nothing: its end requests the next one. */
+  /** Has no effect while a write is in flight, as the next write is requested when it ends. */
   requestWrite(delayMs: number): void {
     const dueMs = this.clock.nowMs() + delayMs;
     if (this.isInFlight || dueMs >= this.dueMs) return;
@@ -37,8 +37,8 @@
     else this.timer = this.clock.after(delayMs, this.onDue);
   }
 
-  /** The due write is begun: later requests are for the next one. */
-  takeDue(): void {
+  /** Must be called when the due write begins; later requests are for the next write. */
+  clearRequest(): void {
     this.dueMs = Infinity;
   }
 
--- a/test/acknowledgementLimit.test.ts
+++ b/test/acknowledgementLimit.test.ts
@@ -4,8 +4,8 @@
 import { CLOCK_DRIFT } from "../src/coordination/term/clockDrift.js";
 
 const KNOWN_MS = 70_000;
-/** For a heartbeat on its way, timers that fire late, and a worker that kills its tasks a moment after its lease. */
-const SPARE_S = 0.5;
+/** Allows for a heartbeat in transit, late timers, and a worker that kills its tasks shortly after its lease expired. */
+const MARGIN_S = 0.5;
 
 const cases: { cancelS: number; leaseS: number; limitMs: number }[] = [
   { cancelS: 37, leaseS: 12, limitMs: 23_900 },
@@ -15,20 +15,20 @@
   { cancelS: 5, leaseS: 8, limitMs: -4100 },
 ];
 
-describe("the right to acknowledge ends a lease before an unknown cancellation has to take effect", () => {
+describe("the right to acknowledge ends one lease before an unknown cancellation must take effect", () => {
   for (const { cancelS, leaseS, limitMs } of cases)
     test(`cancelled within ${cancelS} s, leases of ${leaseS} s`, () => {
       const durationMs = acknowledgementLimitMs(KNOWN_MS, cancelS, leaseS) - KNOWN_MS;
       assert.ok(durationMs >= limitMs && durationMs <= limitMs + 100, `${durationMs} ms`);
-      // The worker's clock and the controller's may both be slow.
+      // Both the worker's clock and the controller's clock may run slow.
       assert.ok(
-        (durationMs * (1 + CLOCK_DRIFT)) / 1000 + leaseS * (1 + CLOCK_DRIFT) + SPARE_S <
+        (durationMs * (1 + CLOCK_DRIFT)) / 1000 + leaseS * (1 + CLOCK_DRIFT) + MARGIN_S <
           cancelS * (1 - CLOCK_DRIFT),
       );
     });
 });
 
-describe("a zone lease is never longer than the right to acknowledge, and none is given that is too short", () => {
+describe("a zone lease never exceeds the right to acknowledge, and is 0 if it would be too short", () => {
   for (const { cancelS, leaseS, limitMs } of cases)
     test(`cancelled within ${cancelS} s, leases of ${leaseS} s`, () => {
       assert.equal(
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -1,7 +1,7 @@
-/** The election's pure decisions: records, steps, votes, confirmations and rights. */
+/** Unit tests of the election's decisions: records, steps, extension votes, term confirmations and rights. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { stepAfterRead, type ElectionFacts } from "../src/coordination/leadership/electionStep.js";
+import { decideElectionStep, type ElectionFacts } from "../src/coordination/leadership/electionStep.js";
 import { KnownLeadership } from "../src/coordination/leadership/knownLeadership.js";
 import {
   decodeLeadership,
@@ -24,8 +24,8 @@
 
 const RECORD: LeadershipRecord = { term: 4, node: "n1", incarnation: "x", leaseId: 9 };
 
-describe("the leadership's records", () => {
-  test("are read as a whole", () => {
+describe("leadership records", () => {
+  test("are decoded from the keys of one read", () => {
     const view = decodeLeadership(
       [
         { key: "lead/hold", value: { n: 4, node: "n1", life: "x", lease: 9 }, version: 12 },
@@ -37,7 +37,7 @@
     assert.deepEqual(decodeLeadership([], 9), { revision: 9, termVersion: 0, term: 0, record: null });
   });
 
-  test("keep their stored form", () => {
+  test("are encoded in the stored format", () => {
     assert.deepEqual(termChange(RECORD), { put: "lead/term", value: { n: 4, node: "n1" } });
     assert.deepEqual(leadershipRecordChange(RECORD), {
       put: "lead/hold",
@@ -48,11 +48,11 @@
 
   const view: LeadershipView = { revision: 12, termVersion: 11, term: 4, record: RECORD };
   const readBacks: { name: string; view: LeadershipView | null; termVersion: number | null }[] = [
-    { name: "the record is there", view, termVersion: 11 },
+    { name: "the record was written", view, termVersion: 11 },
     { name: "the state store did not answer", view: null, termVersion: null },
-    { name: "nobody leads", view: { ...view, record: null }, termVersion: null },
+    { name: "there is no leader", view: { ...view, record: null }, termVersion: null },
     {
-      name: "another process",
+      name: "another process wrote the record",
       view: { ...view, record: { ...RECORD, incarnation: "y" } },
       termVersion: null,
     },
@@ -60,7 +60,7 @@
     { name: "another lease", view: { ...view, record: { ...RECORD, leaseId: 8 } }, termVersion: null },
   ];
   for (const readBack of readBacks)
-    test(`after a write of unknown outcome: ${readBack.name}`, () => {
+    test(`are read back after a write of unknown outcome: ${readBack.name}`, () => {
       assert.equal(termVersionIfWritten(RECORD, readBack.view), readBack.termVersion);
     });
 });
@@ -78,48 +78,48 @@
     facts?: Partial<ElectionFacts>;
     step: "wait" | "campaign" | "end lease";
   }[] = [
-    { name: "waits while another one leads", record: RECORD, step: "wait" },
-    { name: "campaigns when nobody leads", record: null, step: "campaign" },
+    { name: "waits while another controller leads", record: RECORD, step: "wait" },
+    { name: "campaigns when there is no leader", record: null, step: "campaign" },
     {
-      name: "waits when nobody leads but it has just stepped down",
+      name: "waits when there is no leader but it has just stepped down",
       record: null,
       facts: { isCampaignPaused: true },
       step: "wait",
     },
     {
-      name: "ends the lease of a leader that it suspects",
+      name: "ends the lease of a suspected leader",
       record: RECORD,
       facts: { isLeaderSuspected: true },
       step: "end lease",
     },
     {
-      name: "ends it also when it has just stepped down",
+      name: "ends the lease of a suspected leader also when it has just stepped down",
       record: RECORD,
       facts: { isLeaderSuspected: true, isCampaignPaused: true },
       step: "end lease",
     },
     {
-      name: "ends the lease of its own node's former process",
+      name: "ends the lease of a previous process of its own node",
       record: RECORD,
       facts: { node: "n1" },
       step: "end lease",
     },
     {
-      name: "waits when the record is its own process's, from a term that it has resigned",
+      name: "waits when the record is left from a term that its own process has resigned",
       record: RECORD,
       facts: { node: "n1", incarnation: "x" },
       step: "wait",
     },
   ];
-  for (const { name, record, facts: special, step } of cases)
+  for (const { name, record, facts: overrides, step } of cases)
     test(name, () => {
-      const taken = stepAfterRead(record, { ...facts, ...special });
-      assert.equal(taken.kind, step);
-      if (taken.kind === "end lease") assert.deepEqual(taken.record, record);
+      const decided = decideElectionStep(record, { ...facts, ...overrides });
+      assert.equal(decided.kind, step);
+      if (decided.kind === "end lease") assert.deepEqual(decided.record, record);
     });
 });
 
-describe("what a controller knows of the leader", () => {
+describe("the known leader", () => {
   function knownAfterTerm4(): KnownLeadership {
     const known = new KnownLeadership("n0");
     known.observeTerm(4);
@@ -133,12 +133,12 @@
     hasChanged: boolean;
     after: string | null;
   }[] = [
-    { name: "the same leader of the same term", leader: "n1", term: 4, hasChanged: false, after: "n1" },
-    { name: "the same leader of a later term", leader: "n1", term: 5, hasChanged: true, after: "n1" },
-    { name: "another one of a later term", leader: "n2", term: 5, hasChanged: true, after: "n2" },
-    { name: "another one of an earlier term", leader: "n2", term: 3, hasChanged: false, after: "n1" },
-    { name: "nobody", leader: null, term: 0, hasChanged: true, after: null },
-    { name: "a record of its own, left from before", leader: "n0", term: 4, hasChanged: true, after: null },
+    { name: "does not change in the same term", leader: "n1", term: 4, hasChanged: false, after: "n1" },
+    { name: "changes with a later term of its leader", leader: "n1", term: 5, hasChanged: true, after: "n1" },
+    { name: "changes to a leader of a later term", leader: "n2", term: 5, hasChanged: true, after: "n2" },
+    { name: "ignores a leader of an earlier term", leader: "n2", term: 3, hasChanged: false, after: "n1" },
+    { name: "is null if there is no leader", leader: null, term: 0, hasChanged: true, after: null },
+    { name: "is null for its own outdated record", leader: "n0", term: 4, hasChanged: true, after: null },
   ];
   for (const { name, leader, term, hasChanged, after } of cases)
     test(name, () => {
@@ -147,15 +147,15 @@
       assert.equal(known.leader.node, after);
     });
 
-  test("nobody, twice, is nothing new; the term before still counts", () => {
+  test("stays null on a repeated observation, and a leader of an earlier term is still ignored", () => {
     const known = knownAfterTerm4();
     known.observeLeader(null, 0);
     assert.equal(known.observeLeader(null, 0), false);
     assert.deepEqual(known.leader, { node: null, term: 4 });
-    assert.equal(known.observeLeader("n2", 3), false, "an old read");
+    assert.equal(known.observeLeader("n2", 3), false, "an outdated read");
   });
 
-  test("its own leadership, until it resigns", () => {
+  test("is the controller itself from its election until it resigns", () => {
     const known = knownAfterTerm4();
     known.lead(5);
     assert.deepEqual([known.term, known.leader], [5, { node: "n0", term: 5 }]);
@@ -163,7 +163,7 @@
     assert.deepEqual([known.term, known.leader], [5, { node: null, term: 5 }]);
   });
 
-  test("the newest term only rises", () => {
+  test("keeps its newest term when an earlier term is observed", () => {
     const known = knownAfterTerm4();
     known.observeTerm(3);
     assert.equal(known.term, 4);
@@ -182,7 +182,7 @@
     test(`${votes} of ${controllers}`, () => assert.equal(isMajority(votes, controllers), expected));
 });
 
-describe("an extension is confirmed only by controllers that are refused too and know of no later term", () => {
+describe("an extension is confirmed only by a controller that is refused as well and knows no later term", () => {
   const facts: ExtensionFacts = {
     nowMs: 10_000,
     hasReadLeadership: true,
@@ -192,59 +192,59 @@
     requestedTerm: 3,
   };
   const cases: [name: string, facts: Partial<ExtensionFacts>, expected: boolean][] = [
-    ["refused lately", {}, true],
-    ["restarted, and has read nothing", { hasReadLeadership: false }, false],
-    ["knows of a later term", { knownTerm: 4 }, false],
-    ["served after it was refused", { lastServedSentMs: 9600 }, false],
-    ["refused too long ago to say", { lastRefusedMs: 8100 }, false],
+    ["refused recently", {}, true],
+    ["restarted without a read since", { hasReadLeadership: false }, false],
+    ["a later term is known", { knownTerm: 4 }, false],
+    ["served after the last refusal", { lastServedSentMs: 9600 }, false],
+    ["refused too long ago", { lastRefusedMs: 8100 }, false],
     ["never refused", { lastRefusedMs: -Infinity }, false],
-    ["knows only of an earlier term", { knownTerm: 2 }, true],
-    ["refused exactly as long ago as counts", { lastRefusedMs: 8500 }, true],
+    ["only an earlier term is known", { knownTerm: 2 }, true],
+    ["refused exactly the maximum time ago", { lastRefusedMs: 8500 }, true],
   ];
-  for (const [name, special, expected] of cases)
-    test(name, () => assert.equal(mayConfirmExtension({ ...facts, ...special }), expected));
+  for (const [name, overrides, expected] of cases)
+    test(name, () => assert.equal(mayConfirmExtension({ ...facts, ...overrides }), expected));
 });
 
-describe("votes for an extension", () => {
+describe("extension votes", () => {
   const PEERS = ["n1", "n2", "n3", "n4"];
   const TERM = 7;
-  /** 2 s from the request, less the drift of both clocks. */
+  /** End of an extension requested at 1000 ms: 2 s later, shortened by the drift of both clocks. */
   const EXTENDED_UNTIL_MS = 1000 + 1998;
   type Vote = Parameters<ExtensionRequests["receiveVote"]>[0];
-  const vote = (from: string, requestId: number, special: Partial<Vote> = {}): Vote => ({
+  const vote = (from: string, requestId: number, overrides: Partial<Vote> = {}): Vote => ({
     kind: "extension vote",
     from,
     term: TERM,
     requestId,
     isGranted: true,
-    ...special,
+    ...overrides,
   });
 
-  test("count from when the request was sent, once a majority has confirmed", () => {
+  test("of a majority extend the right, counted from the sending of the request", () => {
     const requests = new ExtensionRequests("n0", PEERS);
     const id = requests.add(TERM, 1000);
     assert.equal(requests.receiveVote(vote("n1", id), TERM), null);
-    assert.equal(requests.receiveVote(vote("n1", id), TERM), null, "the same one again");
+    assert.equal(requests.receiveVote(vote("n1", id), TERM), null, "a repeated vote");
     assert.equal(requests.receiveVote(vote("n2", id), TERM), EXTENDED_UNTIL_MS);
     assert.equal(requests.receiveVote(vote("n3", id), TERM), EXTENDED_UNTIL_MS, "more than a majority");
   });
 
-  const invalid: { name: string; special: Partial<Vote>; leadingTerm?: number }[] = [
-    { name: "against it", special: { isGranted: false } },
-    { name: "of a controller that is no peer", special: { from: "n9" } },
-    { name: "for another request", special: { requestId: 99 } },
-    { name: "of another term", special: { term: TERM + 1 } },
-    { name: "for a term that is not led any more", special: {}, leadingTerm: TERM + 1 },
+  const invalid: { name: string; overrides: Partial<Vote>; leadingTerm?: number }[] = [
+    { name: "an extension that is not granted", overrides: { isGranted: false } },
+    { name: "a vote of a controller that is not a peer", overrides: { from: "n9" } },
+    { name: "a vote for another request", overrides: { requestId: 99 } },
+    { name: "a vote of another term", overrides: { term: TERM + 1 } },
+    { name: "a vote for a term that the controller no longer leads", overrides: {}, leadingTerm: TERM + 1 },
   ];
-  for (const { name, special, leadingTerm } of invalid)
-    test(`do not count: ${name}`, () => {
+  for (const { name, overrides, leadingTerm } of invalid)
+    test(`are ignored: ${name}`, () => {
       const requests = new ExtensionRequests("n0", PEERS);
       const id = requests.add(TERM, 1000);
       requests.receiveVote(vote("n1", id), TERM);
-      assert.equal(requests.receiveVote(vote("n2", id, special), leadingTerm ?? TERM), null);
+      assert.equal(requests.receiveVote(vote("n2", id, overrides), leadingTerm ?? TERM), null);
     });
 
-  test("do not count once the request is too old, or cleared with its term", () => {
+  test("are ignored once their request is too old or was cleared with its term", () => {
     const requests = new ExtensionRequests("n0", ["n1", "n2"]);
     const old = requests.add(TERM, 1000);
     const young = requests.add(TERM, 3001);
@@ -254,7 +254,7 @@
     assert.equal(requests.receiveVote(vote("n2", young), TERM), null);
   });
 
-  test("never answer a request of an earlier term: ids count on", () => {
+  test("never match a request of a later term, because request ids are not reused", () => {
     const requests = new ExtensionRequests("n0", PEERS);
     const earlier = requests.add(TERM, 1000);
     requests.clear();
@@ -262,26 +262,26 @@
   });
 });
 
-describe("earlier leaders are silent", () => {
-  test("a lease, the drift of both clocks and a margin after a majority has confirmed the term", () => {
+describe("rights of earlier leaders have expired", () => {
+  test("one lease, the drift of both clocks and a margin after a majority has confirmed the term", () => {
     const confirmation = new TermConfirmation(3, 3000);
     assert.equal(confirmation.confirm("n0", 100), false);
-    assert.equal(confirmation.earlierLeadersSilentFromMs, Infinity);
-    assert.equal(confirmation.confirm("n0", 150), false, "the same one again");
+    assert.equal(confirmation.earlierLeadershipExpiredFromMs, Infinity);
+    assert.equal(confirmation.confirm("n0", 150), false, "a repeated confirmation");
     assert.equal(confirmation.confirm("n1", 200), true);
-    assert.equal(confirmation.earlierLeadersSilentFromMs, 200 + 3000 * 1.001 + 50);
-    assert.equal(confirmation.confirm("n2", 900), false, "known already");
-    assert.equal(confirmation.earlierLeadersSilentFromMs, 200 + 3000 * 1.001 + 50);
+    assert.equal(confirmation.earlierLeadershipExpiredFromMs, 200 + 3000 * 1.001 + 50);
+    assert.equal(confirmation.confirm("n2", 900), false, "the majority is already complete");
+    assert.equal(confirmation.earlierLeadershipExpiredFromMs, 200 + 3000 * 1.001 + 50);
   });
 
-  test("an extension later when leases are shorter than that", () => {
+  test("one extension, the drift of both clocks and a margin after it if leases are shorter than extensions", () => {
     const confirmation = new TermConfirmation(1, 500);
     assert.equal(confirmation.confirm("n0", 0), true);
-    assert.equal(confirmation.earlierLeadersSilentFromMs, 2002 + 50);
+    assert.equal(confirmation.earlierLeadershipExpiredFromMs, 2002 + 50);
   });
 });
 
-describe("a leader's rights", () => {
+describe("the rights of a leader", () => {
   const LEASE_MS = 3000;
   test("end before its lease can have expired", () => {
     assert.ok(leadershipLeaseUntilMs(1000, 3000) < 4000);
@@ -290,13 +290,13 @@
     assert.equal(rights.acknowledgeUntilMs, rights.writeUntilMs);
   });
 
-  test("move with each renewal", () => {
+  test("are prolonged by each renewal", () => {
     const rights = new LeadershipRights(1000, LEASE_MS);
     rights.renew(1750);
     assert.equal(rights.writeUntilMs, leadershipLeaseUntilMs(1750, LEASE_MS));
   });
 
-  test("to acknowledge are extended by a majority, those to write are not; neither is ever shortened", () => {
+  test("to acknowledge are extended by a majority, those to write are not, and neither is shortened", () => {
     const rights = new LeadershipRights(1000, LEASE_MS);
     rights.extend(9000);
     rights.extend(8000);
@@ -306,7 +306,7 @@
     assert.equal(rights.acknowledgeUntilMs, 9000);
   });
 
-  test("are lost a while after the lease and the last extension", () => {
+  test("are lost some time after the end of the lease and the last extension", () => {
     const rights = new LeadershipRights(1000, LEASE_MS);
     const leaseUntilMs = rights.writeUntilMs;
     assert.equal(rights.areLost(leaseUntilMs + 1999), false, "an extension may still come");
@@ -317,11 +317,11 @@
   });
 });
 
-test("liveness writes go on for 4 s after the last refusal; only the first refusal starts them", () => {
+test("liveness writes are active for 4 s after the last refusal, and only the first refusal starts them", () => {
   const writes = new LivenessWrites();
-  assert.equal(writes.areDue(0), false);
-  assert.equal(writes.prolong(1000), true);
-  assert.equal(writes.prolong(2000), false);
-  assert.deepEqual([writes.areDue(5999), writes.areDue(6000)], [true, false]);
-  assert.equal(writes.prolong(6000), true);
+  assert.equal(writes.isActive(0), false);
+  assert.equal(writes.extend(1000), true);
+  assert.equal(writes.extend(2000), false);
+  assert.deepEqual([writes.isActive(5999), writes.isActive(6000)], [true, false]);
+  assert.equal(writes.extend(6000), true);
 });
--- a/test/elector.test.ts
+++ b/test/elector.test.ts
@@ -1,4 +1,4 @@
-/** Electors on a simulated state store and clock, without the rest of a controller. */
+/** Tests of electors on a simulated state store, network and clock, without the other components of a controller. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { StateStoreClient } from "../src/bookkeeping/stateStoreClient.js";
@@ -10,23 +10,24 @@
 import { SimStateStore } from "./fakes/stateStore.js";
 
 const LEASE_MS = 3000;
-const PROBE_MS = 500;
+const POLL_INTERVAL_MS = 500;
 const STORE = "state:1";
-const NO_RANDOM = (): number => 0.5;
+const FIXED_RANDOM = (): number => 0.5;
 
-class Election {
+/** Electors of several controllers that share a simulated state store. */
+class SimulatedElection {
   readonly clock = new SimClock();
   readonly stateStore: SimStateStore;
-  /** What each controller last knew of the leadership. */
+  /** The last change that each controller's elector reported. */
   readonly changes = new Map<string, LeadershipChange>();
-  /** Kinds of messages sent, with sender and receiver. */
+  /** All messages sent, as "sender>receiver kind". */
   readonly sent: string[] = [];
-  private readonly net = new SimNet(this.clock, NO_RANDOM);
+  private readonly net = new SimNet(this.clock, FIXED_RANDOM);
   private readonly electors = new Map<string, Elector>();
   private incarnations = 0;
 
   constructor(readonly names: string[]) {
-    this.stateStore = new SimStateStore(this.clock, this.net, NO_RANDOM, STORE);
+    this.stateStore = new SimStateStore(this.clock, this.net, FIXED_RANDOM, STORE);
   }
 
   start(name: string): void {
@@ -51,10 +52,10 @@
           this.electors.get(peer)?.tell({ kind: "peer", message: message as ElectionPeerMessage }),
         );
       },
-      random: NO_RANDOM,
+      random: FIXED_RANDOM,
       onLeadershipChange: (change) => this.changes.set(name, change),
       leaseMs: LEASE_MS,
-      probeMs: PROBE_MS,
+      pollIntervalMs: POLL_INTERVAL_MS,
     });
     this.electors.set(name, elector);
     elector.start();
@@ -64,7 +65,7 @@
     return this.electors.get(name)!;
   }
 
-  /** The process is gone; what it sent still arrives. */
+  /** Stops the controller's process; messages that it has sent are still delivered. */
   crash(name: string): void {
     this.elector(name).stop();
     this.electors.delete(name);
@@ -83,9 +84,9 @@
   }
 }
 
-/** Starts n0 first, so that it leads, then the others. */
-async function electionLedByFirst(names: string[]): Promise<Election> {
-  const election = new Election(names);
+/** Starts the first controller alone, so that it becomes the leader, and then the others. */
+async function electionLedByFirst(names: string[]): Promise<SimulatedElection> {
+  const election = new SimulatedElection(names);
   election.start(names[0]!);
   await election.run(100);
   for (const name of names.slice(1)) election.start(name);
@@ -94,32 +95,32 @@
   return election;
 }
 
-describe("an election", () => {
-  test("has one leader, whom all know, and whose earlier ones are silent once a majority has confirmed it", async () => {
+describe("leader election", () => {
+  test("elects one leader that all controllers know and whose term a majority confirms", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     const { lease, leader, term } = election.changes.get("n0")!;
     assert.deepEqual([leader, term, lease?.term], ["n0", 1, 1]);
-    assert.ok(lease!.earlierLeadersSilentFromMs < Infinity);
+    assert.ok(lease!.earlierLeadershipExpiredFromMs < Infinity);
     for (const name of ["n1", "n2"])
       assert.deepEqual(election.changes.get(name), { lease: null, leader: "n0", term: 1 });
   });
 
-  test("gives a sole controller its majority at once", async () => {
+  test("gives a single controller its majority without messages", async () => {
     const election = await electionLedByFirst(["n0"]);
-    assert.ok(election.lease("n0")!.earlierLeadersSilentFromMs < Infinity);
+    assert.ok(election.lease("n0")!.earlierLeadershipExpiredFromMs < Infinity);
     assert.deepEqual(election.sent, []);
   });
 
-  test("passes to another one after the lease of a leader that crashed", async () => {
+  test("elects another leader after the lease of a crashed leader", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.crash("n0");
     election.changes.delete("n0");
-    await election.run(LEASE_MS + 2 * PROBE_MS + 500);
+    await election.run(LEASE_MS + 2 * POLL_INTERVAL_MS + 500);
     assert.equal(election.leaders.length, 1);
     assert.equal(election.lease(election.leaders[0]!)!.term, 2);
   });
 
-  test("passes at once to the new process of the leader's node: its former one holds nothing", async () => {
+  test("elects the restarted process of the leader's node before the previous lease expires", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.crash("n0");
     election.changes.delete("n0");
@@ -128,7 +129,7 @@
     assert.equal(election.lease("n0")?.term, 2);
   });
 
-  test("passes at once when a leader's host refuses connections while others are reachable", async () => {
+  test("elects another leader before the lease expires when only the leader's host refuses connections", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.crash("n0");
     election.changes.delete("n0");
@@ -147,18 +148,18 @@
     assert.equal(election.lease("n0")!.term, 1);
   });
 
-  test("may acknowledge on, but not write, in an outage that a majority confirms", async () => {
+  test("may acknowledge but not write during an outage that a majority confirms", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.stateStore.startOutage(30_000);
     await election.run(15_000);
     const lease = election.lease("n0")!;
     const nowMs = election.clock.nowMs();
-    assert.ok(lease.writeUntilMs < nowMs, "no right to write");
-    assert.ok(lease.acknowledgeUntilMs > nowMs, "the right to acknowledge");
-    assert.ok(lease.acknowledgeUntilMs <= nowMs + 2000, "for a short time");
+    assert.ok(lease.writeUntilMs < nowMs, "must not write");
+    assert.ok(lease.acknowledgeUntilMs > nowMs, "may acknowledge");
+    assert.ok(lease.acknowledgeUntilMs <= nowMs + 2000, "by at most 2 s");
   });
 
-  test("resigns when the state store refuses it alone: nobody confirms an extension", async () => {
+  test("resigns when the state store refuses only this leader, so that no peer confirms an extension", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.stateStore.refuseHost("n0", 30_000);
     await election.run(10_000);
@@ -167,11 +168,11 @@
     assert.equal(election.lease(election.leaders[0]!)!.term, 2);
   });
 
-  test("resigns for a later term, and only for one", async () => {
+  test("resigns on a later term and ignores a `deposed` message of another term", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.elector("n0").tell({ kind: "deposed", term: 7 });
     await election.run(1);
-    assert.equal(election.lease("n0")?.term, 1, "not its own term");
+    assert.equal(election.lease("n0")?.term, 1, "the message names another term");
     election.elector("n0").tell({
       kind: "peer",
       message: { kind: "term announcement", from: "n1", term: 2 },
@@ -180,7 +181,7 @@
     assert.deepEqual(election.changes.get("n0"), { lease: null, leader: null, term: 0 });
   });
 
-  test("that can't keep up steps down, and leaves the next term to others", async () => {
+  test("that is overloaded steps down and leaves the next term to others", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.elector("n0").tell({ kind: "lagging", term: 1 });
     await election.run(5000);
@@ -188,7 +189,7 @@
     assert.equal(election.leaders.length, 1);
   });
 
-  test("that has stepped down leads again after 20 s when nobody else does", async () => {
+  test("that has stepped down leads again after 20 s when there is no other leader", async () => {
     const election = await electionLedByFirst(["n0"]);
     election.elector("n0").tell({ kind: "lagging", term: 1 });
     await election.run(19_900);
@@ -197,7 +198,7 @@
     assert.equal(election.lease("n0")?.term, 2);
   });
 
-  test("that sees all hosts refuse writes its record every 300 ms for 4 s", async () => {
+  test("that all hosts refuse rewrites its record every 300 ms for 4 s", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     const versionOf = (): number => election.stateStore.entries.get("lead/hold")!.version;
     const versions = new Set<number>();
--- a/test/fakes/machineTerm.ts
+++ b/test/fakes/machineTerm.ts
@@ -50,7 +50,7 @@
       termVersion: 1,
       writeUntilMs: Infinity,
       acknowledgeUntilMs: Infinity,
-      earlierLeadersSilentFromMs: 0,
+      earlierLeadershipExpiredFromMs: 0,
     },
     this.clock,
   );
--- a/test/heartbeatDecision.test.ts
+++ b/test/heartbeatDecision.test.ts
@@ -72,7 +72,7 @@
     termVersion: 1,
     writeUntilMs: NOW_MS + leaseMs,
     acknowledgeUntilMs: NOW_MS + leaseMs,
-    earlierLeadersSilentFromMs: 0,
+    earlierLeadershipExpiredFromMs: 0,
   });
   rights.applyLimits({
     term: TERM,
--- a/test/leaderSuspicion.test.ts
+++ b/test/leaderSuspicion.test.ts
@@ -7,18 +7,18 @@
 interface SuspicionCase {
   name: string;
   othersReachable: boolean;
-  /** Time since the refusal, what was read, and whether the leader is assumed failed then. */
+  /** Milliseconds from the refusal to the read, the read's result, and whether the leader is then assumed failed. */
   reads: [sentMs: number, read: Omit<LeadershipRead, "sentMs">, isFailed: boolean][];
 }
 
 const cases: SuspicionCase[] = [
   {
-    name: "links to others stand: at the first read",
+    name: "at the first read if links to other controllers are open",
     othersReachable: true,
     reads: [[5, { ...LEADER, revision: 70 }, true]],
   },
   {
-    name: "all hosts refuse and nothing is written: at the second read",
+    name: "at the second read if all hosts refuse and nothing was written in between",
     othersReachable: false,
     reads: [
       [5, { ...LEADER, revision: 70 }, false],
@@ -26,7 +26,7 @@
     ],
   },
   {
-    name: "all hosts refuse and the reads follow each other at once: not yet",
+    name: "not yet if all hosts refuse and the second read follows immediately",
     othersReachable: false,
     reads: [
       [5, { ...LEADER, revision: 70 }, false],
@@ -35,7 +35,7 @@
     ],
   },
   {
-    name: "all hosts refuse and somebody writes: not yet",
+    name: "not yet if all hosts refuse and a write occurred between the reads",
     othersReachable: false,
     reads: [
       [5, { ...LEADER, revision: 70 }, false],
@@ -44,7 +44,7 @@
     ],
   },
   {
-    name: "the suspected one leads a later term: it lives",
+    name: "not if it leads a later term, which shows that it is alive",
     othersReachable: true,
     reads: [
       [5, { ...LEADER, term: 5, revision: 70 }, false],
@@ -52,7 +52,7 @@
     ],
   },
   {
-    name: "another leads by now",
+    name: "not if another controller leads",
     othersReachable: false,
     reads: [
       [5, { leader: "n2", term: 5, revision: 70 }, false],
@@ -60,13 +60,13 @@
     ],
   },
   {
-    name: "a suspicion of long ago says nothing",
+    name: "not if the refusal was too long ago",
     othersReachable: true,
     reads: [[4500, { ...LEADER, revision: 70 }, false]],
   },
 ];
 
-/** Guards against a live leader's lease being ended again and again when only the links are refused. */
+/** Guards against repeatedly ending the lease of a live leader when only the links between controllers are refused. */
 describe("a leader whose host refuses connections is assumed failed", () => {
   for (const { name, othersReachable, reads } of cases)
     test(name, () => {
@@ -76,7 +76,7 @@
         assert.equal(suspicion.isConfirmedBy({ ...read, sentMs: 1000 + sentMs }, 1004 + sentMs), isFailed);
     });
 
-  test("nobody is, without a refusal", () => {
+  test("not without a refusal", () => {
     assert.equal(new LeaderSuspicion().isConfirmedBy({ ...LEADER, revision: 1, sentMs: 3 }, 5), false);
   });
 });
--- a/test/leadershipStore.test.ts
+++ b/test/leadershipStore.test.ts
@@ -12,7 +12,7 @@
 const START_MS = 5000;
 const LEASE_ID = 9;
 
-/** A state store that gives these answers and notes what it was asked. */
+/** Creates a context whose state store returns the given answers and records all requests. */
 function fakeContext(answers: { leaseId: number | null; swap: CompareAndSwapOutcome; list: ListOutcome }): {
   context: LeadershipStoreContext;
   requests: string[];
@@ -58,7 +58,7 @@
   ],
 ])}`;
 
-/** What the state store holds when the swap was carried out. */
+/** The keys in the state store after the compare-and-swap was executed. */
 const WRITTEN: ListOutcome = {
   kind: "ok",
   revision: 22,
@@ -78,30 +78,30 @@
     requests: string[];
     won: WonTerm | null;
   }[] = [
-    { name: "is lost without a lease", leaseId: null, requests: ["open 3000"], won: null },
-    { name: "is won by the swap", requests: ["open 3000", SWAP], won: WON },
+    { name: "is lost if no lease can be opened", leaseId: null, requests: ["open 3000"], won: null },
+    { name: "is won if the compare-and-swap succeeds", requests: ["open 3000", SWAP], won: WON },
     ...(["conflict", "refused", "no lease"] as const).map((kind) => ({
-      name: `is lost, and its lease ended, when the swap ends with "${kind}"`,
+      name: `is lost, and its lease ended, if the compare-and-swap results in "${kind}"`,
       swap: kind === "conflict" ? { kind, failed: ["lead/hold"] } : { kind },
       requests: ["open 3000", SWAP, "end 9"],
       won: null,
     })),
     {
-      name: "is won when a swap of unknown outcome is found carried out",
+      name: "is won if a compare-and-swap of unknown outcome is found executed",
       swap: { kind: "unknown" },
       list: WRITTEN,
       requests: ["open 3000", SWAP, "list lead/"],
       won: WON,
     },
     {
-      name: "is lost, and its lease ended, when a swap of unknown outcome is not found carried out",
+      name: "is lost, and its lease ended, if a compare-and-swap of unknown outcome is found not executed",
       swap: { kind: "unknown" },
       list: { kind: "ok", revision: 22, items: [] },
       requests: ["open 3000", SWAP, "list lead/", "end 9"],
       won: null,
     },
     {
-      name: "is lost, and its lease ended, when a swap of unknown outcome can't be read back",
+      name: "is lost, and its lease ended, if a compare-and-swap of unknown outcome can't be read back",
       swap: { kind: "unknown" },
       requests: ["open 3000", SWAP, "list lead/", "end 9"],
       won: null,
--- a/test/leaseProofs.test.ts
+++ b/test/leaseProofs.test.ts
@@ -15,38 +15,43 @@
   const inherited: StartFacts = { sentToken: -1, sentEpoch: 0, isInherited: true };
   const cases: { name: string; start: StartFacts; heartbeat: HeartbeatFacts; isProof: boolean }[] = [
     {
-      name: "same token: the start command may still be on its way",
+      name: "no proof under the same token, as the start command may still be in flight",
       start: own,
       heartbeat: { epoch: 2, fencingToken: 100 },
       isProof: false,
     },
-    { name: "lower token", start: own, heartbeat: { epoch: 2, fencingToken: 99 }, isProof: false },
     {
-      name: "a higher token refuses the start command",
+      name: "no proof under a lower token",
+      start: own,
+      heartbeat: { epoch: 2, fencingToken: 99 },
+      isProof: false,
+    },
+    {
+      name: "proof under a higher token, which makes the worker refuse the start command",
       start: own,
       heartbeat: { epoch: 2, fencingToken: 101 },
       isProof: true,
     },
     {
-      name: "a later epoch refuses the start command",
+      name: "proof in a later epoch, in which the worker refuses the start command",
       start: own,
       heartbeat: { epoch: 3, fencingToken: 100 },
       isProof: true,
     },
     {
-      name: "never sent: nothing to prove",
+      name: "no proof for a start command that was never sent",
       start: { ...own, sentToken: -1 },
       heartbeat: { epoch: 9, fencingToken: 999 },
       isProof: false,
     },
     {
-      name: "an earlier leader's start, before the worker has seen a token of this term",
+      name: "no proof for an inherited attempt before the worker has seen a token of this term",
       start: inherited,
       heartbeat: { epoch: 9, fencingToken: 49 },
       isProof: false,
     },
     {
-      name: "an earlier leader's start, once the worker has seen a token of this term",
+      name: "proof for an inherited attempt once the worker has seen a token of this term",
       start: inherited,
       heartbeat: { epoch: 2, fencingToken: 50 },
       isProof: true,
@@ -56,12 +61,12 @@
     test(name, () => assert.equal(absenceProvesTaskGone(start, heartbeat, FIRST_TOKEN_OF_TERM), isProof));
 });
 
-test("a worker's lease is counted as expired later than its length, for the clocks may drift", () => {
+test("a worker's lease is considered expired later than its duration, because clocks drift", () => {
   assert.ok(leaseExpiredFromMs(1000, 14) > 15_000 * 1.0005);
   assert.equal(leaseExpiredFromMs(Infinity, 14), Infinity);
 });
 
-describe("a lease has expired only when nobody can have renewed it, whoever serves the worker", () => {
+describe("a worker's lease has expired only when no controller can have renewed it", () => {
   const LAST_ACK_MS = 1000;
   const LEASE_S = 10;
   const expiredMs = leaseExpiredFromMs(LAST_ACK_MS, LEASE_S);
@@ -76,34 +81,34 @@
     acknowledgementsUnknownBeforeMs: -Infinity,
   };
   const cases: { name: string; servers: HeartbeatServerFacts[]; expiredFromMs: number }[] = [
-    { name: "only the leader serves", servers: [], expiredFromMs: expiredMs },
+    { name: "the leader is the only heartbeat server", servers: [], expiredFromMs: expiredMs },
     {
       name: "a server whose grant ended before the last acknowledgement",
       servers: [failed],
       expiredFromMs: expiredMs,
     },
     {
-      name: "a server all of whose acknowledgements up to then are known",
+      name: "a server whose acknowledgements up to the expiry are all known",
       servers: [serving],
       expiredFromMs: expiredMs,
     },
     {
-      name: "a server that is silent since, with a grant",
+      name: "a server with a grant whose latest acknowledgements are not known",
       servers: [{ ...serving, acknowledgementsKnownUntilMs: expiredMs - 1 }],
       expiredFromMs: leaseExpiredFromMs(99_000, LEASE_S),
     },
     {
-      name: "a server that failed: its grant may have been used to the end",
+      name: "a failed server that may have used its grant until the end",
       servers: [{ ...failed, grantUntilMs: 2500 }],
       expiredFromMs: leaseExpiredFromMs(2500, LEASE_S),
     },
     {
-      name: "a server some of whose updates were lost",
+      name: "a server of which some updates were lost",
       servers: [{ ...serving, acknowledgementsKnownUntilMs: 50_000, acknowledgementsUnknownBeforeMs: 4000 }],
       expiredFromMs: leaseExpiredFromMs(4000, LEASE_S),
     },
     {
-      name: "one that failed moves the time span past what is known of another",
+      name: "a failed server that moves the interval past the known acknowledgements of another",
       servers: [serving, { ...failed, grantUntilMs: 2500 }],
       expiredFromMs: leaseExpiredFromMs(99_000, LEASE_S),
     },
--- a/test/recordWriter.test.ts
+++ b/test/recordWriter.test.ts
@@ -41,7 +41,7 @@
       termVersion: 5,
       writeUntilMs: Infinity,
       acknowledgeUntilMs: Infinity,
-      earlierLeadersSilentFromMs: 0,
+      earlierLeadershipExpiredFromMs: 0,
     },
     clock,
   );
