--- a/src/coordination/consolidation/consolidationSnapshot.ts
+++ b/src/coordination/consolidation/consolidationSnapshot.ts
@@ -3,7 +3,7 @@
 import type { Resources } from "../../bookkeeping/resources.js";
 import type { MachineType } from "../../protocol/model.js";
 import type { Operator } from "../../settings/operator.js";
-import { allowsPlacement, zoneRoom } from "../scheduling/fitting.js";
+import { allowsPlacement, zoneTaskCapacity } from "../scheduling/fitting.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { LoadedTask, MeasuredMachine } from "./loadedMachine.js";
@@ -126,7 +126,7 @@
   const { spec } = attempt.job;
   if (!machine?.type || machine.isCordoned) return false;
   if (!allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)) return false;
-  return zoneRoom(spec, otherTasksByZone(attempt.job, attempt), machine.zone) > 0;
+  return zoneTaskCapacity(spec, otherTasksByZone(attempt.job, attempt), machine.zone) > 0;
 }
 
 function otherTasksByZone(job: Job, except: Attempt): Map<string, number> {
--- a/src/coordination/leader/buildTermComponents.ts
+++ b/src/coordination/leader/buildTermComponents.ts
@@ -112,7 +112,7 @@
     deliveryResults,
     leases: new MachineLeases(shared.lease, shared.servers, shared.leaseS),
     scaleIn: (machine, reason) => provisioner.scaleIn(machine, reason),
-    isReserved: (machine) => shared.reservations.includes(machine),
+    isReserved: (machine) => shared.reservations.isReserved(machine),
   });
   return { reconciliation, heartbeats, deliveryResults, supervisor };
 }
--- a/src/coordination/provisioning/scaleOutPlan.ts
+++ b/src/coordination/provisioning/scaleOutPlan.ts
@@ -1,6 +1,12 @@
 /** The decision which machines to order for work that found no place. */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
-import { allowsPlacement, fits, fittingTasks, subtractTasks, zoneRoom } from "../scheduling/fitting.js";
+import {
+  allowsPlacement,
+  fits,
+  fittingTasks,
+  subtractTasks,
+  zoneTaskCapacity,
+} from "../scheduling/fitting.js";
 import type { AcceleratorReserve, JobView, MachineView } from "../scheduling/views.js";
 import { emptyMachineView } from "../scheduling/views.js";
 import { machineKindKey, purchaseKinds, type ScaleOutTarget } from "./machineOrders.js";
@@ -136,7 +142,7 @@
   ): Offer | null {
     const { spec, onlyZone } = demand;
     if (onlyZone !== null && zone !== onlyZone) return cheapest;
-    const room = zoneRoom(spec, demand.tasksByZone, zone);
+    const room = zoneTaskCapacity(spec, demand.tasksByZone, zone);
     if (room <= 0) return cheapest;
     const usedTasks = Math.min(heldTasks, demand.tasks, room);
     for (const spot of purchaseKinds(spec)) {
@@ -163,7 +169,7 @@
   const tasks = Math.min(
     demand.tasks,
     fittingTasks(spec, machine.free),
-    zoneRoom(spec, tasksByZone, machine.zone),
+    zoneTaskCapacity(spec, tasksByZone, machine.zone),
   );
   if (tasks <= 0) return;
   subtractTasks(machine.free, spec, tasks);
--- a/src/coordination/scheduling/capacities.ts
+++ b/src/coordination/scheduling/capacities.ts
@@ -1,25 +1,25 @@
-/** The capacity that each priority can count on, for the order of service. */
+/** Computes the fleet capacity available to each job priority; the queue uses it for fair shares. */
 import type { QuotaAmount } from "../../bookkeeping/quotaUsage.js";
 import type { Job, Machine } from "../../bookkeeping/workload.js";
 import type { Estimates } from "./estimates.js";
 
-/** Cpus, or accelerators, that jobs of a priority can count on. */
-export type CapacityOf = (priority: number, ofGpus: boolean) => number;
+/** Returns the CPUs, or the GPUs if `needsGpus` is set, that are available to jobs of a priority. */
+export type CapacityLookup = (priority: number, needsGpus: boolean) => number;
 
 /**
- * Capacity by priority: all that the fleet has, less what jobs of higher priority use. Cpus of machines that are kept for
- * GPU work count for nobody else.
+ * Returns a lookup of capacity by priority: the fleet's total minus the usage of jobs with a higher priority. The CPUs
+ * of machines that keep an accelerator reserve are excluded because they are held for GPU jobs.
  */
 export function capacityByPriority(
   machines: Iterable<Machine>,
   jobs: Iterable<Job>,
   estimates: Estimates,
-): CapacityOf {
+): CapacityLookup {
   const total = fleetCapacity(machines, estimates);
-  const used = useByPriority(jobs);
-  return (priority, ofGpus) => {
-    let capacity = ofGpus ? total.gpus : total.cpus;
-    for (const [other, use] of used) if (other > priority) capacity -= ofGpus ? use.gpus : use.cpus;
+  const used = usageByPriority(jobs);
+  return (priority, needsGpus) => {
+    let capacity = needsGpus ? total.gpus : total.cpus;
+    for (const [other, use] of used) if (other > priority) capacity -= needsGpus ? use.gpus : use.cpus;
     return capacity;
   };
 }
@@ -34,8 +34,8 @@
   return total;
 }
 
-/** What running work takes, by its priority. Counted by jobs: there are ten times as many attempts. */
-function useByPriority(jobs: Iterable<Job>): Map<number, QuotaAmount> {
+/** Sums the usage of running jobs by priority. It iterates over jobs because attempts are ten times as many. */
+function usageByPriority(jobs: Iterable<Job>): Map<number, QuotaAmount> {
   const used = new Map<number, QuotaAmount>();
   for (const { spec, attempts } of jobs) {
     if (attempts.size === 0) continue;
--- a/src/coordination/scheduling/failureDetection.ts
+++ b/src/coordination/scheduling/failureDetection.ts
@@ -1,17 +1,21 @@
-/** Tells from failed tasks whether a job or a machine is at fault. Pure. */
+/** Classifies jobs and machines as faulty from the failures of their tasks. Pure functions. */
 import type { Job, Machine } from "../../bookkeeping/workload.js";
 
-/** A job that has failed on more machines than this and succeeded on none was submitted with a mistake. */
+/** A job that failed on more machines than this and succeeded on none is considered broken itself. */
 const FAULTY_JOB_MACHINES = 3;
-/** A machine is faulty from this score on: one failure may be chance. */
+/** Minimum score of a faulty machine; it exceeds the score of any single failure, which may be chance. */
 const FAULTY_MACHINE_SCORE = 3;
-/** What a failure of a job that runs well on other machines adds to the score, and that of a job not known to. */
+/** Score of one failure of a job that succeeds on other machines. */
 const PROVEN_JOB_SCORE = 2;
+/** Score of one failure of a job that is not known to succeed on other machines. */
 const UNPROVEN_JOB_SCORE = 1;
-/** Without a job that runs well elsewhere, failures of at least so many jobs are needed. */
+/** Minimum number of failing jobs if none of them is known to succeed on other machines. */
 const MIN_UNPROVEN_JOBS = 2;
 
-/** Does the job fail wherever it starts? Then no machine is to blame, and it gets little room. */
+/**
+ * Returns true if the job fails on every machine; its failures are not attributed to machines, and its tasks are
+ * limited.
+ */
 export function jobLooksFaulty(job: Job): boolean {
   if (job.failedMachineNames.size <= FAULTY_JOB_MACHINES || job.doneCount > 0) return false;
   for (const { phase, machine } of job.attempts)
@@ -19,7 +23,10 @@
   return true;
 }
 
-/** Failures of jobs that run well elsewhere count double, those of jobs that fail everywhere not at all. */
+/**
+ * Returns true if the machine's failure score marks it as faulty. Failures of jobs that succeed on other machines count
+ * double; failures of jobs that fail everywhere are ignored.
+ */
 export function machineLooksFaulty(machine: Machine, jobs: ReadonlyMap<string, Job>): boolean {
   let score = 0;
   let provenJobs = 0;
@@ -27,7 +34,7 @@
   for (const [jobId, failures] of machine.consecutiveFailures) {
     const job = jobs.get(jobId);
     if (job && jobLooksFaulty(job)) continue;
-    const isProven = job !== undefined && runsWellElsewhere(job, machine);
+    const isProven = job !== undefined && succeedsElsewhere(job, machine);
     score += failures * (isProven ? PROVEN_JOB_SCORE : UNPROVEN_JOB_SCORE);
     if (isProven) provenJobs++;
     countedJobs++;
@@ -35,7 +42,7 @@
   return score >= FAULTY_MACHINE_SCORE && (provenJobs > 0 || countedJobs >= MIN_UNPROVEN_JOBS);
 }
 
-function runsWellElsewhere(job: Job, machine: Machine): boolean {
+function succeedsElsewhere(job: Job, machine: Machine): boolean {
   if (job.doneCount > 0) return true;
   for (const attempt of job.attempts)
     if (attempt.machine !== machine && attempt.phase === "running") return true;
--- a/src/coordination/scheduling/fitting.ts
+++ b/src/coordination/scheduling/fitting.ts
@@ -1,17 +1,17 @@
 /**
- * What fits where: arithmetic on resources, and the placement rules that a job brings with it (rule `wrong_place`).
- * All of it runs once for each candidate, so nothing here allocates.
+ * Resource arithmetic and the placement constraints of a job (rule `wrong_place`). These functions run once for each
+ * candidate machine, so they do not allocate.
  */
 import type { JobSpec } from "../../protocol/model.js";
 import type { Resources } from "../../bookkeeping/resources.js";
 
-/** Sums and differences of resources are off by less than this; without it, rounding would reject what fits exactly. */
+/** Upper bound of rounding errors in resource sums; without it, rounding would reject tasks that fit exactly. */
 export const ROUNDING_TOLERANCE = 1e-6;
 
-/** A job that is spread has at most every so-many-th of its tasks in one zone. */
+/** A spread job has at most 1/SPREAD_ZONE_DIVISOR of its tasks, rounded up, in one zone. */
 const SPREAD_ZONE_DIVISOR = 2;
 
-/** Does one more task of the job fit into the free resources? */
+/** Returns true if one more task of the job fits into the free resources. */
 export function fits(spec: JobSpec, free: Resources): boolean {
   return (
     spec.cpus <= free.cpus + ROUNDING_TOLERANCE &&
@@ -20,7 +20,7 @@
   );
 }
 
-/** The number of the job's tasks that fit into the free resources; never negative, Infinity for a job that needs none. */
+/** Returns how many of the job's tasks fit into the free resources: at least 0, Infinity if they need no resources. */
 export function fittingTasks(spec: JobSpec, free: Resources): number {
   return Math.max(
     0,
@@ -36,21 +36,21 @@
   return needed > 0 ? Math.floor((available + ROUNDING_TOLERANCE) / needed) : Infinity;
 }
 
-/** Takes what that many tasks of the job need out of `free`; a negative count puts it back. */
+/** Subtracts the resources of `tasks` tasks from `free` in place; a negative count adds them back. */
 export function subtractTasks(free: Resources, spec: JobSpec, tasks: number): void {
   free.cpus -= spec.cpus * tasks;
   free.gpus -= spec.gpus * tasks;
   free.memoryGb -= spec.memoryGb * tasks;
 }
 
-/** Adds `amount` to `total`, in place. */
+/** Adds `amount` to `total` in place. */
 export function addResources(total: Resources, amount: Resources): void {
   total.cpus += amount.cpus;
   total.gpus += amount.gpus;
   total.memoryGb += amount.memoryGb;
 }
 
-/** Machine type, zone and purchase kind that the job itself asks for (rule `wrong_place`). */
+/** Checks the job's constraints on machine type, zone and spot instances (rule `wrong_place`). */
 export function allowsPlacement(spec: JobSpec, type: string, zone: string, spot: boolean): boolean {
   return (
     (spec.types === null || spec.types.includes(type)) &&
@@ -60,10 +60,10 @@
 }
 
 /**
- * The number of the job's tasks that a zone may still take, given how many others may be in which zone (rule
- * `wrong_place`). Not positive: none.
+ * Returns how many more tasks the job's `oneZone` and `spread` constraints allow in a zone, given its tasks per zone
+ * (rule `wrong_place`). A result of 0 or less means none; Infinity means no limit.
  */
-export function zoneRoom(spec: JobSpec, tasksByZone: Map<string, number>, zone: string): number {
+export function zoneTaskCapacity(spec: JobSpec, tasksByZone: Map<string, number>, zone: string): number {
   if (spec.oneZone)
     for (const [otherZone, tasks] of tasksByZone) if (otherZone !== zone && tasks > 0) return 0;
   if (!spec.spread) return Infinity;
--- a/src/coordination/scheduling/gangPlacement.ts
+++ b/src/coordination/scheduling/gangPlacement.ts
@@ -1,4 +1,4 @@
-/** Places gangs: all tasks of one at once, in one zone where the job asks for it, or none. */
+/** Gang scheduling: places all tasks of a gang at once, in one zone if the job requires it, or none of them. */
 import type { JobSpec } from "../../protocol/model.js";
 import type { CycleState, SelectedMachine } from "./cycleState.js";
 import { allowsPlacement, fits, fittingTasks, subtractTasks } from "./fitting.js";
@@ -7,28 +7,29 @@
 import type { PreemptionPlanner } from "./preemptionPlanner.js";
 import type { JobView, MachineView } from "./views.js";
 
-/** Seconds of a start that one more place left in a zone is worth to a gang that comes later. */
-const SPARE_PLACE_VALUE_S = 0.2;
-/** A gang whose team is at its limit should begin within this: what ends sooner may borrow its room. */
+/** Cost per gang task, in seconds, of each task slot left over in the zone: its value to a later gang. */
+const SPARE_TASK_SLOT_VALUE_S = 0.2;
+/** Expected wait of a gang for its team's quota; tasks that end sooner may backfill its reservations. */
 const QUOTA_WAIT_S = 5;
-/** A gang whose last machines are booting should begin within this. */
+/** Expected wait of a gang that lacks only machines that are booting or ordered. */
 const INCOMING_WAIT_S = 20;
 
-/** The parts of a cycle that place a gang. */
+/** Components of a scheduling cycle that gang placement uses. */
 export interface GangPlacementContext {
   state: CycleState;
   selection: MachineSelection;
   preemption: PreemptionPlanner;
 }
 
-/** A zone that holds the whole gang now; `zone`: null if its tasks may be in several. */
+/** A zone, or set of zones, in which the whole gang fits now. */
 interface CompleteOption {
   selected: SelectedMachine[];
   cost: number;
 }
 
-/** A zone that holds a part of the gang now, and more once the machines on their way are up. */
+/** A zone in which a part of the gang fits now, and more of it once the incoming machines are up. */
 interface PartialOption {
+  /** The zone, or null if the gang may use several zones. */
   zone: string | null;
   tasksNow: number;
   tasksIncoming: number;
@@ -36,33 +37,33 @@
 }
 
 /**
- * Places gangs: a gang starts whole or not at all, in one zone if it asks for that. Room for a part of it is reserved
- * while the machines for the rest are on their way, or once the gang has waited long: otherwise smaller jobs would take
- * every machine that comes free, for ever.
+ * Places gangs: a gang starts as a whole or not at all, in one zone if it requires that. Capacity for a part of a gang
+ * is reserved while machines for the rest are incoming, or once the gang is starving: otherwise smaller jobs would take
+ * every machine that becomes free and the gang would never start.
  */
 export class GangPlacement {
   constructor(private readonly context: GangPlacementContext) {}
 
-  /** Places a gang whose team may start `quotaRoom` more tasks of its shape. */
-  place(job: JobView, quotaRoom: number): void {
+  /** Places a gang whose team quota allows `quotaHeadroom` more tasks of its shape. */
+  place(job: JobView, quotaHeadroom: number): void {
     const { state, preemption } = this.context;
     const wanted = job.spec.tasks;
-    const isWithinQuota = quotaRoom >= wanted;
+    const isWithinQuota = quotaHeadroom >= wanted;
     const { complete, partial } = this.options(job);
     if (complete) {
       if (isWithinQuota) state.planStarts(job, complete.selected);
-      else this.awaitQuota(job, complete.selected);
+      else this.reserveUntilQuotaFrees(job, complete.selected);
       return;
     }
-    if (isWithinQuota && preemption.makeRoom(job, wanted, Infinity) >= wanted) return;
-    if (partial) this.awaitRest(job, partial, isWithinQuota);
-    else state.leaveUnplaced(job, wanted, null);
+    if (isWithinQuota && preemption.freeCapacity(job, wanted, Infinity) >= wanted) return;
+    if (partial) this.reservePartialGang(job, partial, isWithinQuota);
+    else state.recordUnplaced(job, wanted, null);
   }
 
-  /** The cheapest zone that holds the whole gang, and the one that comes nearest to it. */
+  /** Returns the cheapest option that fits the whole gang and the partial option with the highest score, if any. */
   private options(job: JobView): { complete: CompleteOption | null; partial: PartialOption | null } {
     const { spec } = job;
-    const zones = spec.oneZone ? this.zonesFor(spec) : [null];
+    const zones = spec.oneZone ? this.candidateZones(spec) : [null];
     let complete: CompleteOption | null = null;
     let partial: PartialOption | null = null;
     for (const zone of zones) {
@@ -79,53 +80,57 @@
     return { complete, partial };
   }
 
-  /** Small gangs go where little is left, so that a large one finds enough in another zone. */
+  /**
+   * Returns the cost of placing the whole gang. Leftover capacity adds to it, so that small gangs go to nearly full
+   * zones and a large gang finds enough capacity in another zone.
+   */
   private completeCost(job: JobView, selected: SelectedMachine[], zone: string | null): number {
     const wanted = job.spec.tasks;
     let cost = 0;
     for (const { machine, tasks } of selected) {
       cost += tasks * placementCost(job, machine, this.context.state.input);
     }
-    return cost + (this.roomIn(job, zone) - wanted) * SPARE_PLACE_VALUE_S * wanted;
+    return cost + (this.currentTaskCapacity(job, zone) - wanted) * SPARE_TASK_SLOT_VALUE_S * wanted;
   }
 
   private partialOption(job: JobView, tasksNow: number, zone: string | null): PartialOption {
     const { spec } = job;
-    const tasksIncoming = this.incomingRoom(job, spec.tasks - tasksNow, zone);
+    const tasksIncoming = this.incomingTaskCapacity(job, spec.tasks - tasksNow, zone);
     const tasksMissing = spec.tasks - tasksNow - tasksIncoming;
-    // Where the cloud has no capacity for the rest, the gang has to wait until other jobs end.
-    const mustWait = tasksMissing > 0 && zone !== null && this.context.state.input.isRefused(spec, zone);
+    // If the cloud has no capacity for the rest in this zone, the gang must wait until other jobs end.
+    const mustWait =
+      tasksMissing > 0 && zone !== null && this.context.state.input.isCapacityRefused(spec, zone);
     const score = tasksNow + tasksIncoming - (mustWait ? spec.tasks : 0);
     return { zone, tasksNow, tasksIncoming, score };
   }
 
-  /** There is room for the gang, but not yet under its team's limit: both are reserved for it. */
-  private awaitQuota(job: JobView, selected: SelectedMachine[]): void {
+  /** Reserves both machines and quota for a gang that fits on machines but exceeds its team's quota for now. */
+  private reserveUntilQuotaFrees(job: JobView, selected: SelectedMachine[]): void {
     const { state, preemption } = this.context;
     const { quota } = state.input;
-    preemption.freeQuota(job, job.spec.tasks - quota.roomWhenStopped(job.spec));
+    preemption.freeQuota(job, job.spec.tasks - quota.headroomAfterStops(job.spec));
     for (const { machine, tasks } of selected) state.reserve(job, machine, tasks, QUOTA_WAIT_S);
-    quota.take(job.spec, job.spec.tasks);
+    quota.recordPlannedTasks(job.spec, job.spec.tasks);
   }
 
-  /** Counts on machines that are on their way, reserves what is there, and asks for what neither of them holds. */
-  private awaitRest(job: JobView, option: PartialOption, isWithinQuota: boolean): void {
+  /** Claims incoming machines, reserves the capacity that is free now, and records the remaining tasks as unplaced. */
+  private reservePartialGang(job: JobView, option: PartialOption, isWithinQuota: boolean): void {
     const { state, selection } = this.context;
     const { zone, tasksNow, tasksIncoming } = option;
     const wanted = job.spec.tasks;
     const isComplete = tasksNow + tasksIncoming >= wanted;
-    this.takeIncoming(job, wanted - tasksNow, zone);
+    this.claimIncomingCapacity(job, wanted - tasksNow, zone);
     if (isWithinQuota && tasksNow > 0 && (isComplete || job.isStarving)) {
-      const etaS = isComplete ? INCOMING_WAIT_S : this.freeInS(job, wanted - tasksNow, zone);
+      const etaS = isComplete ? INCOMING_WAIT_S : this.expectedWaitS(job, wanted - tasksNow, zone);
       const selected = selection.select(job, wanted, { fetchWithinS: Infinity, zone });
       for (const { machine, tasks } of selected) state.reserve(job, machine, tasks, etaS);
-      // Nobody else of its team may use up its quota either.
-      state.input.quota.take(job.spec, wanted);
+      // Other jobs of the team must not use up the gang's quota.
+      state.input.quota.recordPlannedTasks(job.spec, wanted);
     }
-    if (!isComplete) state.leaveUnplaced(job, wanted - tasksNow - tasksIncoming, zone);
+    if (!isComplete) state.recordUnplaced(job, wanted - tasksNow - tasksIncoming, zone);
   }
 
-  private zonesFor(spec: JobSpec): string[] {
+  private candidateZones(spec: JobSpec): string[] {
     if (spec.zone !== null) return [spec.zone];
     const { machines, incoming } = this.context.state.input;
     const zones = new Set<string>();
@@ -134,18 +139,18 @@
     return [...zones];
   }
 
-  /** Tasks that the zone's machines hold now. */
-  private roomIn(job: JobView, zone: string | null): number {
+  /** Returns the number of the job's tasks that fit on the zone's machines now. */
+  private currentTaskCapacity(job: JobView, zone: string | null): number {
     let tasks = 0;
-    for (const machine of this.context.state.openMachines) {
+    for (const machine of this.context.state.candidateMachines) {
       if (fits(job.spec, machine.free) && isAllowed(job.spec, machine, zone))
         tasks += fittingTasks(job.spec, machine.free);
     }
     return tasks;
   }
 
-  /** Tasks, up to `wanted`, that the zone's machines will hold that are on their way. */
-  private incomingRoom(job: JobView, wanted: number, zone: string | null): number {
+  /** Returns the number of the job's tasks, up to `wanted`, that will fit on the zone's incoming machines. */
+  private incomingTaskCapacity(job: JobView, wanted: number, zone: string | null): number {
     let tasks = 0;
     for (const machine of this.context.state.input.incoming) {
       if (tasks >= wanted) break;
@@ -154,20 +159,25 @@
     return Math.min(tasks, wanted);
   }
 
-  /** Takes up to `wanted` tasks' room on machines that are on their way, so that no other gang counts on it too. */
-  private takeIncoming(job: JobView, wanted: number, zone: string | null): void {
-    let missing = wanted;
+  /**
+   * Claims capacity for up to `wanted` tasks on incoming machines, so that no other gang plans with the same capacity.
+   */
+  private claimIncomingCapacity(job: JobView, wanted: number, zone: string | null): void {
+    let remaining = wanted;
     for (const machine of this.context.state.input.incoming) {
-      if (missing <= 0) break;
+      if (remaining <= 0) break;
       if (!isAllowed(job.spec, machine, zone)) continue;
-      const tasks = Math.min(missing, fittingTasks(job.spec, machine.free));
+      const tasks = Math.min(remaining, fittingTasks(job.spec, machine.free));
       subtractTasks(machine.free, job.spec, tasks);
-      missing -= tasks;
+      remaining -= tasks;
     }
   }
 
-  /** Seconds until as many of the zone's busy machines as the gang lacks should be free; 0: there are none. */
-  private freeInS(job: JobView, missing: number, zone: string | null): number {
+  /**
+   * Returns the seconds until `missing` of the zone's busy machines, or all if fewer, should be free; 0 if none is
+   * busy.
+   */
+  private expectedWaitS(job: JobView, missing: number, zone: string | null): number {
     const { machines, nowMs } = this.context.state.input;
     const timesS: number[] = [];
     for (const machine of machines) {
--- a/src/coordination/scheduling/jobViews.ts
+++ b/src/coordination/scheduling/jobViews.ts
@@ -27,14 +27,14 @@
   const preferred = context.preferredMachines.get(job.id);
   return {
     spec: job.spec,
-    pending: job.pendingCount,
+    pendingTasks: job.pendingCount,
     taskLimit: taskLimit(entry),
     fairShareTasks: Math.max(0, entry.fairShareTasks - job.attempts.size),
-    taskS: job.spec.kind === "service" ? Infinity : entry.taskS,
+    expectedTaskS: job.spec.kind === "service" ? Infinity : entry.taskS,
     isStarving: entry.isStarving,
     isGuaranteed: entry.isGuaranteed,
     zones: attemptsByZone(job),
-    avoid: avoidedMachines(job, nowMs),
+    avoidedMachines: avoidedMachines(job, nowMs),
     waitTargetLeftS: waitTargetLeftS(job, context.objectives, nowMs),
     preferredMachine: preferred && preferred.untilMs > nowMs ? preferred.machine : null,
   };
--- a/src/coordination/scheduling/machineSelection.ts
+++ b/src/coordination/scheduling/machineSelection.ts
@@ -1,72 +1,78 @@
-/** Chooses machines for tasks, cheapest placement first. */
+/** Selects machines for tasks in order of placement cost. */
 import type { JobSpec } from "../../protocol/model.js";
-import { countInZone, type CycleState, type SelectedMachine } from "./cycleState.js";
-import { addResources, allowsPlacement, fits, zoneRoom } from "./fitting.js";
-import { fetchDelayS, placementCost, roomFor } from "./placementCost.js";
+import { addZoneTasks, type CycleState, type SelectedMachine } from "./cycleState.js";
+import { addResources, allowsPlacement, fits, zoneTaskCapacity } from "./fitting.js";
+import { fetchDelayS, placementCost, placeableTasks } from "./placementCost.js";
 import type { JobView, MachineView } from "./views.js";
 
-/** A task may run on resources that are reserved for another job if it should end so many times earlier, … */
-const BORROWING_FACTOR = 1.3;
-/** … and so many seconds earlier, than that job expects to begin. */
-const BORROWING_MARGIN_S = 2;
+/** A task may backfill reserved resources only if this multiple of its expected duration ends before the job starts. */
+const BACKFILL_FACTOR = 1.3;
+/** Further margin, in seconds, between the end of a backfilling task and the start of the reserving job. */
+const BACKFILL_MARGIN_S = 2;
 
-/** Limits on the machines that are considered for a job. */
+/** Restrictions on the machines that are considered for a job. */
 export interface SelectionLimits {
-  /** Seconds that a task may wait for its image there. */
+  /** Longest acceptable image fetch delay, in seconds; Infinity means no limit. */
   fetchWithinS: number;
-  /** The only zone that counts; null: all. */
+  /** The only zone considered, or null for all zones. */
   zone: string | null;
 }
 
-/** Every machine counts, however long the image takes to arrive. */
-export const ANY_MACHINE: SelectionLimits = { fetchWithinS: Infinity, zone: null };
+/** Considers machines of all zones, regardless of the image fetch delay. */
+export const NO_SELECTION_LIMITS: SelectionLimits = { fetchWithinS: Infinity, zone: null };
 
 interface Candidate {
   machine: MachineView;
   cost: number;
 }
 
-/** Selects the machines for a job's tasks among those with room, the cheapest placement first. */
+/** Selects machines for a job's tasks among the cycle's candidate machines, lowest placement cost first. */
 export class MachineSelection {
-  /** Specs that fitted nowhere: in one cycle room only shrinks, so what asks for no less fits nowhere either. */
+  /**
+   * Specs that fit on no machine. Capacity, including reservations, only shrinks within a cycle, so jobs that request
+   * at least as much are skipped without a search.
+   */
   private readonly unplaceableSpecs: JobSpec[] = [];
 
   constructor(private readonly state: CycleState) {}
 
-  /** Machines for up to `wanted` tasks. Nothing is planned yet, but reservations that the job may borrow are released. */
+  /**
+   * Selects machines for up to `wanted` tasks without planning them. Releases the reservations that the job may
+   * backfill.
+   */
   select(job: JobView, wanted: number, limits: SelectionLimits): SelectedMachine[] {
     if (this.isUnplaceable(job.spec)) return [];
     const candidates = this.candidates(job, limits);
     candidates.sort(byCost);
     const selected: SelectedMachine[] = [];
     const tasksByZone = new Map(job.zones);
-    let missing = wanted;
+    let remaining = wanted;
     for (const { machine } of candidates) {
-      if (missing <= 0) break;
+      if (remaining <= 0) break;
       const tasks = Math.min(
-        missing,
-        roomFor(job.spec, machine),
-        zoneRoom(job.spec, tasksByZone, machine.zone),
+        remaining,
+        placeableTasks(job.spec, machine),
+        zoneTaskCapacity(job.spec, tasksByZone, machine.zone),
       );
       if (tasks <= 0) continue;
-      countInZone(tasksByZone, machine.zone, tasks);
+      addZoneTasks(tasksByZone, machine.zone, tasks);
       selected.push({ machine, tasks });
-      missing -= tasks;
+      remaining -= tasks;
     }
     return selected;
   }
 
   private candidates(job: JobView, limits: SelectionLimits): Candidate[] {
     const { spec } = job;
-    const { openMachines, plan, input } = this.state;
+    const { candidateMachines, plan, input } = this.state;
     const candidates: Candidate[] = [];
     let fitsSomewhere = false;
-    plan.machinesExamined += openMachines.length;
-    for (const machine of openMachines) {
+    plan.machinesExamined += candidateMachines.length;
+    for (const machine of candidateMachines) {
       if (!fits(spec, machine.free)) {
         if (!machine.reserved) continue;
         fitsSomewhere = true;
-        if (!canBorrowReserved(job, machine, limits.zone)) continue;
+        if (!canBackfill(job, machine, limits.zone)) continue;
         this.state.releaseReservation(machine);
       }
       if (!allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)) continue;
@@ -95,16 +101,16 @@
   return left.cost - right.cost || (left.machine.name < right.machine.name ? -1 : 1);
 }
 
-/** Resources reserved for another job may be used by a task that ends before that job begins. */
-function canBorrowReserved(job: JobView, machine: MachineView, zone: string | null): boolean {
+/** Returns true if the job's task fits with the reserved resources and should end before the reserving job starts. */
+function canBackfill(job: JobView, machine: MachineView, zone: string | null): boolean {
   const { spec } = job;
   const { reserved } = machine;
-  const endsInS = job.taskS + fetchDelayS(spec, machine);
-  if (!reserved || reserved.etaS < endsInS * BORROWING_FACTOR + BORROWING_MARGIN_S) return false;
-  const room = { ...machine.free };
-  addResources(room, reserved.amount);
+  const endsInS = job.expectedTaskS + fetchDelayS(spec, machine);
+  if (!reserved || reserved.etaS < endsInS * BACKFILL_FACTOR + BACKFILL_MARGIN_S) return false;
+  const available = { ...machine.free };
+  addResources(available, reserved.amount);
   return (
-    fits(spec, room) &&
+    fits(spec, available) &&
     allowsPlacement(spec, machine.type.name, machine.zone, machine.spot) &&
     (zone === null || machine.zone === zone)
   );
@@ -112,12 +118,14 @@
 
 function isWithinLimits(job: JobView, machine: MachineView, limits: SelectionLimits): boolean {
   if (limits.zone !== null && machine.zone !== limits.zone) return false;
-  if (job.avoid.has(machine.name) || mustYieldFetch(job.spec, machine)) return false;
+  if (job.avoidedMachines.has(machine.name) || mustDeferFetch(job.spec, machine)) return false;
   return fetchDelayS(job.spec, machine) <= limits.fetchWithinS;
 }
 
-/** Fetches share the bandwidth: a job starts none of its own while one of higher priority waits for its image. */
-function mustYieldFetch(spec: JobSpec, machine: MachineView): boolean {
+/**
+ * Fetches share bandwidth: a job must not start a new fetch while a task of higher priority waits for an image there.
+ */
+function mustDeferFetch(spec: JobSpec, machine: MachineView): boolean {
   return (
     machine.fetchPriority > spec.priority &&
     !machine.images.has(spec.image) &&
--- a/src/coordination/scheduling/machineSnapshots.ts
+++ b/src/coordination/scheduling/machineSnapshots.ts
@@ -1,24 +1,24 @@
 /**
- * Snapshots of machines, kept from cycle to cycle while the machine stays the same: building all of them anew took
- * most of a cycle.
+ * Builds and caches the machine snapshots of scheduling cycles. Unchanged machines keep their snapshot, because
+ * rebuilding all snapshots took most of a cycle's time.
  */
 import type { MachineType } from "../../protocol/model.js";
 import type { Attempt, Machine } from "../../bookkeeping/workload.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
 import type { Estimates } from "./estimates.js";
-import { victimsOn } from "./stopCost.js";
+import { victimsOnMachine } from "./stopCost.js";
 import { emptyMachineView, type MachineView, type VictimView } from "./views.js";
 
-/** Few machines take this many times their type's boot time to come up; those that do are not waited for. */
+/** Multiple of the type's boot time after which a booting machine is overdue; few machines take longer. */
 const LATE_BOOT_FACTOR = 1.7;
-/** Added to that: registration and the first heartbeat. */
+/** Time for registration and the first heartbeat, added to the boot time limit. */
 const BOOT_MARGIN_S = 3;
-/** A service ends when its users want it to: not within the hour that plans look ahead. */
+/** Assumed remaining run time of a service: users decide when it ends, so it outlasts the one-hour planning horizon. */
 const SERVICE_REMAINING_S = 3600;
-/** What has run for longer than expected is still not over at once. */
+/** Minimum remaining run time, also assumed for tasks that have exceeded their expected run time. */
 const MIN_REMAINING_S = 3;
 
-/** A machine type that was ordered from the cloud and has not come up yet. */
+/** Machines of one type, zone and purchase option that were ordered from the cloud and are not up yet. */
 export interface OpenOrder {
   type: string;
   zone: string;
@@ -26,19 +26,19 @@
   count: number;
 }
 
-/** What the snapshots are made from. */
+/** Sources of the snapshots. */
 export interface MachineSnapshotsContext {
   machines: MachineRegistry;
   estimates: Estimates;
-  /** Seconds of silence after which nothing new is placed on a machine. */
+  /** Seconds without an acknowledged heartbeat after which a machine gets no new tasks. */
   suspectS: number;
 }
 
-/** The machines that one cycle may plan with. */
+/** The machines that a scheduling cycle may use. */
 export interface FleetSnapshot {
-  /** Up, and to be trusted with new work. */
+  /** Machines that are up, schedulable and healthy. */
   machines: MachineView[];
-  /** Booting or ordered. */
+  /** Machines that are booting or ordered. */
   incoming: MachineView[];
 }
 
@@ -50,44 +50,47 @@
 }
 
 /**
- * Builds the snapshots of machines for a cycle. A snapshot is kept from cycle to cycle until its machine changes, or until
- * a cycle has written on it: of hundreds of machines only a few change between two cycles.
+ * Owns the cache of machine snapshots. A snapshot is reused until its machine or the accelerator reserves change, or
+ * until a cycle modifies the snapshot: only a few of hundreds of machines change between two cycles.
  */
 export class MachineSnapshots {
   private readonly cache = new Map<string, CachedView>();
 
   constructor(private readonly context: MachineSnapshotsContext) {}
 
-  /** Machines that may get new work, booting ones, and those of the open orders. */
+  /** Returns snapshots of the schedulable machines, and of the machines that are booting or in open orders. */
   take(openOrders: ReadonlyMap<string, OpenOrder>, nowMs: number): FleetSnapshot {
     const machines: MachineView[] = [];
     const incoming: MachineView[] = [];
     for (const machine of this.context.machines.values()) {
       const { type } = machine;
-      if (!type || !mayGetWork(machine)) continue;
+      if (!type || !isSchedulable(machine)) continue;
       if (machine.state === "booting") {
-        // Scale-out writes on these as well, after the cycle: built anew each time.
-        if (!isOverdueToBoot(machine, nowMs)) incoming.push(this.buildView(machine, type));
-      } else if (this.isTrusted(machine, nowMs)) machines.push(this.viewOf(machine, type));
+        // Scale-out modifies these views after the cycle, so they are not cached.
+        if (!isBootOverdue(machine, nowMs)) incoming.push(this.buildView(machine, type));
+      } else if (this.isHealthy(machine, nowMs)) machines.push(this.cachedViewOf(machine, type));
     }
-    for (const order of openOrders.values()) this.addOrdered(order, incoming);
+    for (const order of openOrders.values()) this.addOrderedMachines(order, incoming);
     return { machines, incoming };
   }
 
-  /** Drops snapshots that a cycle has written on. */
-  discard(views: Iterable<MachineView>): void {
+  /** Drops snapshots that a cycle has modified. */
+  invalidate(views: Iterable<MachineView>): void {
     for (const view of views) this.cache.delete(view.name);
   }
 
   /**
-   * A machine may be reachable for commands while its heartbeats reach no controller: what is started there would die with
-   * its lease.
+   * Returns true if the machine is reachable and its heartbeats are recent. Reachability alone is not enough: if
+   * heartbeats reach no controller, tasks started there end when the machine's lease expires.
    */
-  private isTrusted(machine: Machine, nowMs: number): boolean {
+  private isHealthy(machine: Machine, nowMs: number): boolean {
     return machine.isReachable && nowMs - machine.lastHeartbeatMs < this.context.suspectS * 1000;
   }
 
-  private addOrdered({ type: typeName, zone, spot, count }: OpenOrder, incoming: MachineView[]): void {
+  private addOrderedMachines(
+    { type: typeName, zone, spot, count }: OpenOrder,
+    incoming: MachineView[],
+  ): void {
     const { estimates } = this.context;
     const type = estimates.typeNamed(typeName);
     if (!type) return;
@@ -95,7 +98,7 @@
       incoming.push(emptyMachineView(type, zone, spot, estimates.acceleratorReserveOn(type, spot)));
   }
 
-  private viewOf(machine: Machine, type: MachineType): MachineView {
+  private cachedViewOf(machine: Machine, type: MachineType): MachineView {
     const { acceleratorReserveRevision: reserveRevision } = this.context.estimates;
     const cached = this.cache.get(machine.name);
     if (
@@ -124,7 +127,7 @@
     addImages(view, machine);
     for (const attempt of machine.attempts) addAttempt(view, attempt);
     let victims: VictimView[] | null = null;
-    view.victims = () => (victims ??= victimsOn(machine));
+    view.victims = () => (victims ??= victimsOnMachine(machine));
     view.freeInS = (nowMs) => this.longestRemainingS(machine, nowMs);
     return view;
   }
@@ -143,7 +146,7 @@
   }
 }
 
-function mayGetWork({ state, isCordoned, interruptionAtMs }: Machine): boolean {
+function isSchedulable({ state, isCordoned, interruptionAtMs }: Machine): boolean {
   return state !== "leaving" && !isCordoned && interruptionAtMs === null;
 }
 
@@ -165,11 +168,11 @@
 }
 
 /**
- * Has the machine been booting for so much longer than its type takes that nobody should count on it any more? Another
- * may be ordered in its place; should it come up after all, it is used. A machine that was up before is not late but
- * silent: cut off, say, and back in a while. Pure.
+ * Returns true if the machine has exceeded its type's boot time by so much that plans no longer include it. A
+ * replacement may be ordered; if the machine comes up after all, it is used. A machine that was up before is never
+ * overdue: it may be temporarily cut off by a network partition. Pure function.
  */
-export function isOverdueToBoot(machine: Machine, nowMs: number): boolean {
+export function isBootOverdue(machine: Machine, nowMs: number): boolean {
   if (machine.isListedAsRunning || machine.attempts.size > 0 || !machine.type) return false;
   const latestBootS = machine.type.bootS * LATE_BOOT_FACTOR + BOOT_MARGIN_S;
   return nowMs - machine.createdMs > latestBootS * 1000;
--- a/src/coordination/scheduling/placement.ts
+++ b/src/coordination/scheduling/placement.ts
@@ -1,24 +1,24 @@
 /**
- * The decision of one cycle: where tasks go, who is stopped for them, and what found no place. Works on snapshots
- * alone.
+ * Plans a scheduling cycle: the tasks to place, the tasks to preempt for them, and the tasks that stay unplaced. Uses
+ * only the snapshots in its input.
  */
-import { countInZone, CycleState } from "./cycleState.js";
-import { addResources, fittingTasks, zoneRoom } from "./fitting.js";
+import { addZoneTasks, CycleState } from "./cycleState.js";
+import { addResources, fittingTasks, zoneTaskCapacity } from "./fitting.js";
 import { GangPlacement } from "./gangPlacement.js";
-import { ANY_MACHINE, MachineSelection } from "./machineSelection.js";
+import { NO_SELECTION_LIMITS, MachineSelection } from "./machineSelection.js";
 import type { PlacementInput, PlacementPlan } from "./placementPlan.js";
 import { PreemptionPlanner } from "./preemptionPlanner.js";
 import type { JobView } from "./views.js";
 
 /**
- * Plans one scheduling cycle: places what it can, in the order of the jobs, and makes room by stopping lesser work where
- * the rules of preemption allow it. Writes on the views that it is given, and does nothing else to its surroundings.
+ * Plans one scheduling cycle: places jobs in the given order and frees capacity by preemption where the rules allow it.
+ * Modifies the views in its input and has no other side effects.
  */
 export function place(input: PlacementInput): PlacementPlan {
   return new SchedulingCycle(new CycleState(input)).run();
 }
 
-/** Serves the jobs of one cycle, one after another. */
+/** Plans the jobs of one cycle in order, first within their fair shares and then beyond them. */
 class SchedulingCycle {
   private readonly selection: MachineSelection;
   private readonly preemption: PreemptionPlanner;
@@ -33,9 +33,9 @@
   run(): PlacementPlan {
     const { jobs } = this.state.input;
     for (const job of jobs) this.placeJob(job);
-    // What others leave of their fair shares is for whoever can use it.
+    // Capacity that other jobs leave unused of their fair shares goes to any job that can use it.
     for (const job of jobs) {
-      if (job.fairShareTasks >= Math.min(job.pending, job.taskLimit)) continue;
+      if (job.fairShareTasks >= Math.min(job.pendingTasks, job.taskLimit)) continue;
       job.fairShareTasks = Infinity;
       this.placeJob(job);
     }
@@ -46,77 +46,81 @@
     const { spec } = job;
     const { quota } = this.state.input;
     this.state.releaseReservationsOf(spec.id);
-    const wanted = Math.min(job.pending, job.taskLimit, job.fairShareTasks);
-    const quotaRoom = quota.room(spec);
+    const wanted = Math.min(job.pendingTasks, job.taskLimit, job.fairShareTasks);
+    const quotaHeadroom = quota.headroom(spec);
     if (spec.kind !== "gang") {
-      this.placeTasks(job, wanted, quotaRoom);
+      this.placeTasks(job, wanted, quotaHeadroom);
       return;
     }
     if (wanted < spec.tasks) return;
-    // What is attainable is a sum over all of the team's jobs, so it is asked for only when the limit is in the way.
-    if (quotaRoom < spec.tasks && quota.attainable(spec) < spec.tasks) return;
-    this.gangs.place(job, quotaRoom);
+    // The attainable headroom sums over all jobs of the team, so it is computed only if the quota is too small now.
+    if (quotaHeadroom < spec.tasks && quota.attainableHeadroom(spec) < spec.tasks) return;
+    this.gangs.place(job, quotaHeadroom);
   }
 
   /**
-   * Places tasks that start one by one. While the class's objective for the wait can still be met, a machine that can
-   * have the image within that time, even if preemption has to make room on it, comes before a longer fetch elsewhere.
+   * Places tasks that start independently. While the class's wait objective can still be met, a machine that can fetch
+   * the image in time is preferred to a longer fetch elsewhere, even if it requires preemption.
    */
-  private placeTasks(job: JobView, wanted: number, quotaRoom: number): void {
-    if (wanted > quotaRoom) this.claimQuota(job, wanted, quotaRoom);
-    let missing = Math.min(wanted, quotaRoom);
-    if (missing <= 0) return;
+  private placeTasks(job: JobView, wanted: number, quotaHeadroom: number): void {
+    if (wanted > quotaHeadroom) this.reserveQuota(job, wanted, quotaHeadroom);
+    let remaining = Math.min(wanted, quotaHeadroom);
+    if (remaining <= 0) return;
     const startWithinS = job.waitTargetLeftS;
-    if (startWithinS !== null) missing -= this.startTasks(job, missing, startWithinS);
-    if (missing > 0) missing -= this.keepReservations(job, missing);
-    if (startWithinS !== null && missing > 0) missing -= this.preemption.makeRoom(job, missing, startWithinS);
-    if (missing > 0) missing -= this.startTasks(job, missing, Infinity);
-    if (missing > 0) missing -= this.preemption.makeRoom(job, missing, Infinity);
-    if (missing > 0) this.state.leaveUnplaced(job, missing, null);
+    if (startWithinS !== null) remaining -= this.startTasks(job, remaining, startWithinS);
+    if (remaining > 0) remaining -= this.renewReservations(job, remaining);
+    if (startWithinS !== null && remaining > 0)
+      remaining -= this.preemption.freeCapacity(job, remaining, startWithinS);
+    if (remaining > 0) remaining -= this.startTasks(job, remaining, Infinity);
+    if (remaining > 0) remaining -= this.preemption.freeCapacity(job, remaining, Infinity);
+    if (remaining > 0) this.state.recordUnplaced(job, remaining, null);
   }
 
-  /** Starts up to `wanted` tasks where their image is there within that time; returns the number of tasks. */
+  /**
+   * Plans to start up to `wanted` tasks where their image arrives within `fetchWithinS`; returns the number planned.
+   */
   private startTasks(job: JobView, wanted: number, fetchWithinS: number): number {
-    const limits = fetchWithinS === Infinity ? ANY_MACHINE : { fetchWithinS, zone: null };
+    const limits = fetchWithinS === Infinity ? NO_SELECTION_LIMITS : { fetchWithinS, zone: null };
     return this.state.planStarts(job, this.selection.select(job, wanted, limits));
   }
 
   /**
-   * The team is at its limit. Whatever of it comes free is for this job before those that are served after it: taken piece
-   * by piece by small tasks, it would never be enough for a large one (docs/incidents/inc-809f.md).
+   * Frees and holds quota for a job whose team is at its limit. Without the hold, small tasks of later jobs would take
+   * each freed part of the quota, and it would never suffice for a large task (docs/incidents/inc-809f.md).
    */
-  private claimQuota(job: JobView, wanted: number, quotaRoom: number): void {
+  private reserveQuota(job: JobView, wanted: number, quotaHeadroom: number): void {
     const { spec } = job;
     const { quota } = this.state.input;
-    if (quota.attainable(spec) < 1) return;
-    this.preemption.freeQuota(job, wanted - quota.roomWhenStopped(spec));
-    if (quotaRoom === 0) quota.take(spec, 1);
+    if (quota.attainableHeadroom(spec) < 1) return;
+    this.preemption.freeQuota(job, wanted - quota.headroomAfterStops(spec));
+    if (quotaHeadroom === 0) quota.recordPlannedTasks(spec, 1);
   }
 
   /**
-   * Renews reservations on machines that tasks are still leaving, for up to `missing` tasks: no second room is made for
-   * them, and nobody else gets the first. Returns the number of tasks.
+   * Renews the job's reservations for up to `wanted` tasks on machines whose preempted tasks are still stopping, so
+   * that the cycle neither preempts for these tasks again nor gives the capacity to other jobs. Returns the number of
+   * tasks.
    */
-  private keepReservations(job: JobView, missing: number): number {
+  private renewReservations(job: JobView, wanted: number): number {
     const { spec } = job;
-    let kept = 0;
-    for (const reservation of this.state.earlierReservationsOf(spec.id)) {
-      const machine = this.state.machineNamed(reservation.machine);
-      if (!machine || kept >= missing) continue;
-      const room = { ...machine.free };
-      addResources(room, machine.stopping);
+    let renewed = 0;
+    for (const reservation of this.state.previousReservationsOf(spec.id)) {
+      const machine = this.state.machineByName(reservation.machine);
+      if (!machine || renewed >= wanted) continue;
+      const available = { ...machine.free };
+      addResources(available, machine.stopping);
       const tasks = Math.min(
         reservation.tasks,
-        missing - kept,
-        fittingTasks(spec, room),
-        zoneRoom(spec, job.zones, machine.zone),
+        wanted - renewed,
+        fittingTasks(spec, available),
+        zoneTaskCapacity(spec, job.zones, machine.zone),
       );
       if (tasks <= 0 || fittingTasks(spec, machine.free) >= tasks) continue;
       this.state.reserve(job, machine, tasks, reservation.etaS);
-      countInZone(job.zones, machine.zone, tasks);
-      kept += tasks;
+      addZoneTasks(job.zones, machine.zone, tasks);
+      renewed += tasks;
     }
-    this.state.input.quota.take(spec, kept);
-    return kept;
+    this.state.input.quota.recordPlannedTasks(spec, renewed);
+    return renewed;
   }
 }
--- a/src/coordination/scheduling/placementPlan.ts
+++ b/src/coordination/scheduling/placementPlan.ts
@@ -1,73 +1,73 @@
-/** What a scheduling cycle is given, and what it decides. */
+/** Input and output types of a scheduling cycle. */
 import type { JobSpec } from "../../protocol/model.js";
 import type { JobView, MachineView, QuotaView } from "./views.js";
 
-/** Tasks of a job that start on a machine now. */
+/** A number of a job's tasks to start on a machine now. */
 export interface Placement {
   jobId: string;
   machine: string;
   tasks: number;
 }
 
-/** Room on a machine that is kept for a job: others were stopped for it, or the rest of its gang is still to come. */
+/** Machine capacity held for a job until preempted tasks stop, or until its gang has enough quota and machines. */
 export interface Reservation {
   jobId: string;
   machine: string;
   tasks: number;
-  /** Seconds until the job is expected to begin: tasks that end sooner may borrow the room. */
+  /** Seconds until the job is expected to start; tasks that end sooner may backfill the capacity. */
   etaS: number;
 }
 
-/** A running task that is stopped in favour of a job. */
+/** The decision to stop a running task in favor of a job. */
 export interface Eviction {
-  /** The `ref` of the victim's view. */
+  /** The `ref` of the task's `VictimView`. */
   ref: unknown;
-  /** The job that gets the room. */
+  /** The job that gets the freed resources or quota. */
   jobId: string;
 }
 
-/** Tasks that found no room on a machine that is up. */
+/** Tasks that the cycle could not place, which may require scale-out. */
 export interface UnplacedTasks {
   job: JobView;
   tasks: number;
-  /** Where the rest of a gang has to go; null: anywhere that the job allows. */
+  /** The zone that the rest of a gang needs, or null for any zone that the job allows. */
   zone: string | null;
 }
 
-/** What a cycle decides. */
+/** The decisions of a scheduling cycle. */
 export interface PlacementPlan {
   placements: Placement[];
   evictions: Eviction[];
   unplaced: UnplacedTasks[];
-  /** What the next cycle should keep, in place of what this one was given. */
+  /** The complete set of reservations for the next cycle; it replaces `PlacementInput.reservations`. */
   reservations: Reservation[];
-  /** Views that were written on: they no longer show the machines as they are. */
+  /** Views that the cycle changed and that therefore no longer reflect the actual state of their machines. */
   modifiedMachines: Set<MachineView>;
-  /** Machines that were examined, each time counted: what the cycle has cost. */
+  /** Number of machine examinations, a measure of the cycle's cost; repeated examinations of a machine all count. */
   machinesExamined: number;
 }
 
-/** What a cycle is given; it writes on the views. */
+/** The input of a scheduling cycle. The cycle modifies the views in it. */
 export interface PlacementInput {
-  /** In the order of service. */
+  /** Waiting jobs in the order in which they are placed. */
   jobs: JobView[];
-  /** Up, and fit to be given new work. */
+  /** Machines that are up and may get new tasks. */
   machines: MachineView[];
-  /** On their way; a gang counts on them. */
+  /** Machines that are booting or ordered; gangs may claim their capacity. */
   incoming: MachineView[];
   reservations: Reservation[];
   quota: QuotaView;
-  /** Tasks that one cycle may stop at the most. */
+  /** Maximum number of tasks that one cycle stops. */
   maxEvictions: number;
-  /** Jobs for which one cycle looks for tasks to stop at the most. */
+  /** Maximum number of victim searches per cycle, for machine capacity and for quota together. */
   maxPreemptors: number;
-  /** False when nothing runs that could be stopped for the job. */
+  /** Returns false if no running task may be stopped for the job. */
   canPreemptFor: (job: JobView) => boolean;
-  /** The cloud has lately had no capacity in that zone that the job could use. */
-  isRefused: (spec: JobSpec, zone: string) => boolean;
-  /** The running job falls within its team's guaranteed quota. */
+  /** Returns true if the cloud recently refused every machine in the zone that the job could use. */
+  isCapacityRefused: (spec: JobSpec, zone: string) => boolean;
+  /** Returns true if the running job is within its team's guaranteed quota. */
   isGuaranteed: (jobId: string) => boolean;
-  /** How often a spot instance is interrupted in an hour, as observed so far. */
+  /** Observed interruptions of one spot instance per hour. */
   interruptionsPerHour: number;
   nowMs: number;
 }
--- a/src/coordination/scheduling/planExecutor.ts
+++ b/src/coordination/scheduling/planExecutor.ts
@@ -1,4 +1,4 @@
-/** Turns a cycle's plan into planned attempts and stops; nothing is sent before the attempts are durable. */
+/** Applies the plan of a scheduling cycle: creates planned attempts and stop requests. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { Objective } from "../../settings/platform.js";
 import { log } from "../../transport/log.js";
@@ -9,10 +9,10 @@
 import { waitTargetLeftS } from "./objectiveTargets.js";
 import type { Placement, PlacementPlan } from "./placementPlan.js";
 
-/** A stop with a checkpoint takes this much longer than saving it. */
+/** Time that a stop with a checkpoint takes in addition to saving the checkpoint. */
 const STOP_MARGIN_S = 1;
 
-/** What carrying out a plan uses of the term. */
+/** Components of the leader's term that plan execution uses. */
 export interface PlanExecutorContext {
   jobs: JobRegistry;
   machines: MachineRegistry;
@@ -21,11 +21,11 @@
   objectives: Objective[];
 }
 
-/** Carries out the decisions of a cycle: placements become planned attempts, evictions become stops. */
+/** Turns placements into planned attempts, and evictions into stop requests. Planned attempts are sent once durable. */
 export class PlanExecutor {
   constructor(private readonly context: PlanExecutorContext) {}
 
-  /** Planned attempts are sent only once they are written: a write is requested at once. */
+  /** Applies the plan. Starts are sent only after their attempts are durable, so a write is requested without delay. */
   execute({ placements, evictions }: PlacementPlan, nowMs: number): void {
     for (const placement of placements) this.placeTasks(placement, nowMs);
     if (placements.length > 0) this.context.writes.requestWrite(0);
@@ -65,7 +65,9 @@
     chunk.isUrgent = true;
   }
 
-  /** A gang's tasks find one another by their attempt number: one for all of them. */
+  /**
+   * Returns a new attempt number, or the gang's current one: gang members find their peers by a shared attempt number.
+   */
   private attemptNumber(job: Job): number {
     if (job.spec.kind === "gang") for (const { number } of job.attempts) return number;
     return this.context.attempts.nextNumber();
@@ -75,12 +77,15 @@
     const { job, machine } = attempt;
     if (attempt.stop || !machine.attempts.has(attempt)) return;
     log.debug(() => `${job.id}/${attempt.task}: preempted on ${machine.name} for ${forJobId}`);
-    if (this.mustStopAtOnce(job, forJobId, nowMs)) this.context.attempts.stopAttempt(attempt, 0);
+    if (this.mustStopImmediately(job, forJobId, nowMs)) this.context.attempts.stopAttempt(attempt, 0);
     else this.context.attempts.stopGracefully(attempt);
   }
 
-  /** A job that has to start at once can't wait for a checkpoint: the victim loses what ran since its last one. */
-  private mustStopAtOnce(victim: Job, forJobId: string, nowMs: number): boolean {
+  /**
+   * Returns true if the victim is an array task whose checkpoint would take longer than the waiting job's wait objective
+   * allows. The victim then loses the work since its last checkpoint.
+   */
+  private mustStopImmediately(victim: Job, forJobId: string, nowMs: number): boolean {
     const waiting = this.context.jobs.get(forJobId);
     const leftS = waiting ? waitTargetLeftS(waiting, this.context.objectives, nowMs) : null;
     return leftS !== null && leftS < victim.spec.saveS + STOP_MARGIN_S && victim.spec.kind === "array";
--- a/src/coordination/scheduling/preemptibleWork.ts
+++ b/src/coordination/scheduling/preemptibleWork.ts
@@ -1,17 +1,20 @@
-/** Whether anything runs that could be stopped for a job; spares most cycles the search for victims. */
+/** Checks cheaply whether preemption can help a job at all, which spares most cycles the search for victims. */
 import type { Job } from "../../bookkeeping/workload.js";
 import type { JobView } from "./views.js";
 
-/** What running work has in common that decides who may preempt any of it. */
+/** Summary of the running jobs that determines which waiting jobs may preempt any of them. */
 export interface PreemptibleWork {
-  /** Infinity: nothing runs. */
+  /** Lowest priority of the running jobs; Infinity if none runs. */
   lowestPriority: number;
-  /** Some of it runs beyond its team's guarantee. */
-  isAnyBorrowing: boolean;
+  /** True if any running job exceeds its team's guaranteed quota. */
+  hasBorrowedWork: boolean;
 }
 
-/** Sums up the jobs that have attempts. */
-export function preemptibleWork(jobs: Iterable<Job>, guaranteedJobs: ReadonlySet<Job>): PreemptibleWork {
+/** Summarizes the jobs that have attempts. */
+export function summarizePreemptibleWork(
+  jobs: Iterable<Job>,
+  guaranteedJobs: ReadonlySet<Job>,
+): PreemptibleWork {
   let lowestPriority = Infinity;
   let isAnyBorrowing = false;
   for (const job of jobs) {
@@ -19,10 +22,10 @@
     lowestPriority = Math.min(lowestPriority, job.spec.priority);
     isAnyBorrowing ||= !guaranteedJobs.has(job);
   }
-  return { lowestPriority, isAnyBorrowing };
+  return { lowestPriority, hasBorrowedWork: isAnyBorrowing };
 }
 
-/** False when certainly nothing runs that may be stopped for the job. */
+/** Returns false only if no running task may be preempted for the job. */
 export function mayPreempt(job: JobView, running: PreemptibleWork): boolean {
-  return running.lowestPriority < job.spec.priority || (job.isGuaranteed && running.isAnyBorrowing);
+  return running.lowestPriority < job.spec.priority || (job.isGuaranteed && running.hasBorrowedWork);
 }
--- a/src/coordination/scheduling/preemptionPlanner.ts
+++ b/src/coordination/scheduling/preemptionPlanner.ts
@@ -1,21 +1,28 @@
-/** Makes room for a job by stopping lesser work, within the bounds of one cycle. */
-import { countInZone, removeVictims, type CycleState } from "./cycleState.js";
-import { addResources, allowsPlacement, ROUNDING_TOLERANCE, subtractTasks, zoneRoom } from "./fitting.js";
+/** Plans the preemptions of one scheduling cycle within the cycle's limits. */
+import { addZoneTasks, removeVictimCandidates, type CycleState } from "./cycleState.js";
+import {
+  addResources,
+  allowsPlacement,
+  ROUNDING_TOLERANCE,
+  subtractTasks,
+  zoneTaskCapacity,
+} from "./fitting.js";
 import { fetchDelayS } from "./placementCost.js";
 import { mayEvict, victimsFor } from "./preemption.js";
 import type { JobView, MachineView, VictimView } from "./views.js";
 
-/** A second of lost work weighs as much as so many seconds of waiting for an image. */
+/** Cost of one second of lost work, in seconds of image fetch delay. */
 const LOST_WORK_WEIGHT = 0.3;
 
-/** A machine on which stopping others makes room for one more task; the cost is roughly in seconds. */
+/** A machine on which preemption frees capacity for at least one more task. */
 interface MachineOption {
   machine: MachineView;
+  /** Approximate cost in seconds. */
   cost: number;
 }
 
-/** What is stopped on one machine, and the number of tasks that then fit there. */
-interface Eviction {
+/** The victims on one machine, with the number of the preempting job's tasks that fit once they have stopped. */
+interface MachineEvictions {
   machine: MachineView;
   victims: VictimView[];
   tasks: number;
@@ -28,27 +35,27 @@
 }
 
 /**
- * Decides which running tasks a cycle stops, within the cycle's limits on evictions and on jobs that preempt: to make
- * room on machines (`makeRoom`), or under a team's quota (`freeQuota`).
+ * Decides which running tasks a cycle preempts, to free machine capacity (`freeCapacity`) or team quota (`freeQuota`).
+ * Enforces the cycle's limits on evictions and on victim searches.
  */
 export class PreemptionPlanner {
-  /** Shapes of jobs for which no eviction helps: in one cycle that stays so. */
-  private readonly hopelessShapes = new Set<string>();
+  /** Job shapes for which preemption cannot help in this cycle; further jobs of these shapes are skipped. */
+  private readonly unsatisfiableShapes = new Set<string>();
   private preemptingJobs = 0;
 
   constructor(private readonly state: CycleState) {}
 
   /**
-   * Stops others so that up to `wanted` tasks of the job fit on machines where their image is there within
-   * `fetchWithinS`, and reserves that room. For a gang it is all or nothing.
-   * @returns the number of tasks that there will be room for
+   * Plans evictions so that up to `wanted` tasks of the job fit on machines where their image arrives within
+   * `fetchWithinS` seconds, and reserves the capacity. For a gang, evictions are planned for all tasks or for none.
+   * @returns the number of tasks for which capacity is reserved
    */
-  makeRoom(job: JobView, wanted: number, fetchWithinS: number): number {
+  freeCapacity(job: JobView, wanted: number, fetchWithinS: number): number {
     const { spec } = job;
-    // The lowest priority preempts nothing, unless its team has less than its guarantee.
+    // Jobs of the lowest priority preempt nothing unless they are within their team's guaranteed quota.
     if ((spec.priority === 0 && !job.isGuaranteed) || !this.mayPreempt(job)) return 0;
-    const shape = roomShape(job);
-    if (this.hopelessShapes.has(shape)) return 0;
+    const shape = preemptionShape(job);
+    if (this.unsatisfiableShapes.has(shape)) return 0;
     this.preemptingJobs++;
     const options = this.machineOptions(job, fetchWithinS, shape);
     if (options.length === 0) return 0;
@@ -56,20 +63,23 @@
     const evictions = this.chooseEvictions(job, wanted, options);
     const tasks = evictions.reduce((total, eviction) => total + eviction.tasks, 0);
     if (tasks < wanted && spec.kind === "gang") return 0;
-    for (const eviction of evictions) this.planEviction(job, eviction);
-    this.state.input.quota.take(spec, tasks);
+    for (const eviction of evictions) this.planEvictions(job, eviction);
+    this.state.input.quota.recordPlannedTasks(spec, tasks);
     return tasks;
   }
 
-  /** Stops lesser work of the job's own team, so that this many more of its tasks come under the team's limit. */
+  /**
+   * Plans evictions of the team's tasks of lower priority, to bring up to `tasks` more of the job's tasks under its
+   * quota.
+   */
   freeQuota(job: JobView, tasks: number): void {
     const { spec } = job;
     if (tasks <= 0 || job.waitTargetLeftS === null || !this.mayPreempt(job)) return;
     const shape = `quota ${spec.team} ${spec.priority}`;
-    if (this.hopelessShapes.has(shape)) return;
+    if (this.unsatisfiableShapes.has(shape)) return;
     this.preemptingJobs++;
     const candidates = this.quotaVictims(job);
-    if (candidates.length === 0) this.hopelessShapes.add(shape);
+    if (candidates.length === 0) this.unsatisfiableShapes.add(shape);
     candidates.sort(
       (left, right) => left.victim.priority - right.victim.priority || left.lossS - right.lossS,
     );
@@ -83,8 +93,8 @@
       if (!helps) continue;
       missingCpus -= victim.cpus;
       missingGpus -= victim.gpus;
-      removeVictims(machine, [victim]);
-      this.state.evict(machine, victim, job);
+      removeVictimCandidates(machine, [victim]);
+      this.state.planEviction(machine, victim, job);
     }
   }
 
@@ -97,68 +107,71 @@
     return this.state.input.maxEvictions - this.state.plan.evictions.length;
   }
 
-  /** Machines on which evictions make room; if there can be none for any job of that shape, the shape is hopeless. */
+  /**
+   * Returns the machines on which evictions help. Marks the shape as unsatisfiable if no job of that shape can have
+   * any.
+   */
   private machineOptions(job: JobView, fetchWithinS: number, shape: string): MachineOption[] {
     const { spec } = job;
     const { input, plan } = this.state;
     const options: MachineOption[] = [];
-    let hasSkipped = fetchWithinS < Infinity;
+    let hasSkippedMachines = fetchWithinS < Infinity;
     plan.machinesExamined += input.machines.length;
     for (const machine of input.machines) {
       if (!allowsPlacement(spec, machine.type.name, machine.zone, machine.spot)) continue;
       if (spec.gpus === 0 && machine.type.gpus > 0 && machine.acceleratorReserve) continue;
       const delayS = fetchDelayS(spec, machine);
-      if (delayS > fetchWithinS || isClosedTo(job, machine)) {
-        hasSkipped = true;
+      if (delayS > fetchWithinS || isUnavailableFor(job, machine)) {
+        hasSkippedMachines = true;
         continue;
       }
       const found = victimsFor(job, machine, input);
       if (!found) continue;
       options.push({ machine, cost: delayS + found.lossS * LOST_WORK_WEIGHT + found.victims.length });
     }
-    if (options.length === 0 && !hasSkipped) this.hopelessShapes.add(shape);
+    if (options.length === 0 && !hasSkippedMachines) this.unsatisfiableShapes.add(shape);
     return options;
   }
 
-  private chooseEvictions(job: JobView, wanted: number, options: MachineOption[]): Eviction[] {
-    const evictions: Eviction[] = [];
+  private chooseEvictions(job: JobView, wanted: number, options: MachineOption[]): MachineEvictions[] {
+    const evictions: MachineEvictions[] = [];
     const tasksByZone = new Map(job.zones);
-    let missing = wanted;
+    let remaining = wanted;
     let evictionsLeft = this.evictionsLeft();
     for (const { machine } of options) {
-      const eviction = this.chooseEvictionsOn(job, machine, missing, evictionsLeft, tasksByZone);
+      const eviction = this.chooseEvictionsOn(job, machine, remaining, evictionsLeft, tasksByZone);
       if (eviction.tasks > 0) evictions.push(eviction);
-      missing -= eviction.tasks;
+      remaining -= eviction.tasks;
       evictionsLeft -= eviction.victims.length;
-      if (missing <= 0) break;
+      if (remaining <= 0) break;
     }
     return evictions;
   }
 
   /**
-   * Victims on one machine for up to `missing` tasks. The machine's resources are put back afterwards, but its victims
-   * are offered to nobody else in this cycle.
+   * Chooses victims on one machine for up to `wanted` tasks. The machine's resources are restored afterwards, but the
+   * chosen victims are not offered again in this cycle.
    */
   private chooseEvictionsOn(
     job: JobView,
     machine: MachineView,
-    missing: number,
+    wanted: number,
     maxVictims: number,
     tasksByZone: Map<string, number>,
-  ): Eviction {
+  ): MachineEvictions {
     const { spec } = job;
     const freeBefore = { ...machine.free };
     const stoppingBefore = { ...machine.stopping };
-    const eviction: Eviction = { machine, victims: [], tasks: 0 };
-    while (eviction.tasks < missing && zoneRoom(spec, tasksByZone, machine.zone) > 0) {
+    const eviction: MachineEvictions = { machine, victims: [], tasks: 0 };
+    while (eviction.tasks < wanted && zoneTaskCapacity(spec, tasksByZone, machine.zone) > 0) {
       const found = victimsFor(job, machine, this.state.input);
       if (!found || eviction.victims.length + found.victims.length > maxVictims) break;
       eviction.victims.push(...found.victims);
       eviction.tasks++;
       subtractTasks(machine.free, spec, 1);
       for (const victim of found.victims) addResources(machine.stopping, victim);
-      removeVictims(machine, found.victims);
-      countInZone(tasksByZone, machine.zone, 1);
+      removeVictimCandidates(machine, found.victims);
+      addZoneTasks(tasksByZone, machine.zone, 1);
     }
     this.state.plan.modifiedMachines.add(machine);
     Object.assign(machine.free, freeBefore);
@@ -166,11 +179,11 @@
     return eviction;
   }
 
-  private planEviction(job: JobView, { machine, victims, tasks }: Eviction): void {
-    for (const victim of victims) this.state.evict(machine, victim, job);
-    // Nobody else may use the room in the meantime, least of all the jobs whose tasks were stopped for it.
+  private planEvictions(job: JobView, { machine, victims, tasks }: MachineEvictions): void {
+    for (const victim of victims) this.state.planEviction(machine, victim, job);
+    // Other jobs must not use the freed capacity in the meantime, in particular not the preempted jobs.
     this.state.reserve(job, machine, tasks, 0);
-    countInZone(job.zones, machine.zone, tasks);
+    addZoneTasks(job.zones, machine.zone, tasks);
   }
 
   private quotaVictims(job: JobView): QuotaVictim[] {
@@ -188,18 +201,20 @@
   }
 }
 
-/** What decides whether any eviction helps a job; the same for all jobs of that shape. */
-function roomShape({ spec, isGuaranteed }: JobView): string {
+/**
+ * Returns a key of the job properties that determine whether any eviction helps; jobs with equal keys are equivalent.
+ */
+function preemptionShape({ spec, isGuaranteed }: JobView): string {
   const { team, priority, cpus, gpus, memoryGb, zone, spot, types } = spec;
   return `${team} ${priority} ${isGuaranteed} ${cpus} ${gpus} ${memoryGb} ${zone} ${spot} ${types?.join()}`;
 }
 
-/** True if the job can't have the machine for a reason of its own, or of this moment: another job's may differ. */
-function isClosedTo(job: JobView, machine: MachineView): boolean {
+/** Returns true if the machine is excluded for a reason that may not apply to other jobs of the same shape. */
+function isUnavailableFor(job: JobView, machine: MachineView): boolean {
   return (
-    job.avoid.has(machine.name) ||
+    job.avoidedMachines.has(machine.name) ||
     machine.reserved !== null ||
-    zoneRoom(job.spec, job.zones, machine.zone) <= 0
+    zoneTaskCapacity(job.spec, job.zones, machine.zone) <= 0
   );
 }
 
--- a/src/coordination/scheduling/quotaView.ts
+++ b/src/coordination/scheduling/quotaView.ts
@@ -22,11 +22,11 @@
     private readonly jobs: ReadonlyMap<string, Job>,
   ) {}
 
-  room(spec: JobSpec): number {
+  headroom(spec: JobSpec): number {
     return this.usage.tasksAllowed(spec, this.planned(spec.team));
   }
 
-  roomWhenStopped(spec: JobSpec): number {
+  headroomAfterStops(spec: JobSpec): number {
     const planned = this.planned(spec.team);
     const stopping = this.stopping(spec.team);
     return this.usage.tasksAllowed(spec, {
@@ -35,7 +35,7 @@
     });
   }
 
-  attainable(spec: JobSpec): number {
+  attainableHeadroom(spec: JobSpec): number {
     const lasting = this.lasting(spec);
     const planned = this.planned(spec.team);
     return this.usage.tasksAllowedGivenUsage(spec, {
@@ -44,7 +44,7 @@
     });
   }
 
-  take(spec: JobSpec, tasks: number): void {
+  recordPlannedTasks(spec: JobSpec, tasks: number): void {
     const planned = this.planned(spec.team);
     addTaskUsage(planned, spec, tasks);
     this.plannedByTeam.set(spec.team, planned);
--- a/src/coordination/scheduling/reservations.ts
+++ b/src/coordination/scheduling/reservations.ts
@@ -1,46 +1,52 @@
-/** Room that is kept on machines between cycles for jobs that could not begin yet. */
+/** Stores reserved machine capacity between scheduling cycles. */
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { Reservation } from "./placementPlan.js";
 
-/** How long room is kept that other work was preempted for: the stopped tasks end within it. */
-const RESERVATION_MS = 6000;
-/** How long it is kept for a gang, while the rest of its room is gathered. */
-const GANG_RESERVATION_MS = 180_000;
+/** Lifetime of a reservation that was made by preemption; the preempted tasks stop within it. */
+const RESERVATION_DURATION_MS = 6000;
+/** Lifetime of a gang's reservation, while the gang waits for the rest of its capacity. */
+const GANG_RESERVATION_DURATION_MS = 180_000;
 
 interface TimedReservation extends Reservation {
-  untilMs: number;
+  /** Steady time at which the reservation expires. */
+  expiresAtMs: number;
 }
 
-/** Owns the room that is kept on machines for jobs that could not start in the cycle that made the room. */
+/** Owns the reservations of machine capacity for jobs that could not start in the cycle that reserved it. */
 export class Reservations {
   private reservations: TimedReservation[] = [];
 
   constructor(private readonly jobs: JobRegistry) {}
 
-  /** Those that have not expired. */
+  /** Returns the reservations that have not expired. */
   active(nowMs: number): Reservation[] {
-    return this.reservations.filter((reservation) => reservation.untilMs > nowMs);
+    return this.reservations.filter((reservation) => reservation.expiresAtMs > nowMs);
   }
 
-  /** Is room on the machine kept for a job? Then the machine is not idle. */
-  includes(machine: string): boolean {
+  /**
+   * Returns true if the last cycle kept a reservation on the machine, even if it has expired since; the machine then
+   * does not count as idle.
+   */
+  isReserved(machine: string): boolean {
     return this.reservations.some((reservation) => reservation.machine === machine);
   }
 
   /**
-   * Takes the reservations of a new cycle. Each expires a while after it was first made, so that nothing is kept for ever
-   * for a job that can't start.
+   * Replaces the reservations with those of a new cycle. A renewed reservation keeps its expiry time, so that capacity
+   * is not held forever for a job that cannot start.
    */
   replace(reservations: Reservation[], nowMs: number): void {
-    const knownUntilMs = new Map(this.reservations.map((known) => [keyOf(known), known.untilMs]));
+    const knownExpiriesMs = new Map(this.reservations.map((known) => [keyOf(known), known.expiresAtMs]));
     this.reservations = reservations.map((reservation) => {
-      const untilMs = knownUntilMs.get(keyOf(reservation)) ?? nowMs + this.durationMs(reservation);
-      return { ...reservation, untilMs };
+      const expiresAtMs = knownExpiriesMs.get(keyOf(reservation)) ?? nowMs + this.durationMs(reservation);
+      return { ...reservation, expiresAtMs };
     });
   }
 
   private durationMs({ jobId }: Reservation): number {
-    return this.jobs.get(jobId)?.spec.kind === "gang" ? GANG_RESERVATION_MS : RESERVATION_MS;
+    return this.jobs.get(jobId)?.spec.kind === "gang"
+      ? GANG_RESERVATION_DURATION_MS
+      : RESERVATION_DURATION_MS;
   }
 }
 
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -19,7 +19,7 @@
 import { place } from "./placement.js";
 import type { PlacementPlan } from "./placementPlan.js";
 import { PlanExecutor } from "./planExecutor.js";
-import { mayPreempt, preemptibleWork } from "./preemptibleWork.js";
+import { mayPreempt, summarizePreemptibleWork } from "./preemptibleWork.js";
 import { serveOrder } from "./queue.js";
 import type { QueueEntry } from "./queueEntry.js";
 import { QueueEntries } from "./queueEntries.js";
@@ -100,7 +100,7 @@
     const fleet = this.machineSnapshots.take(provisioner.openOrders, nowMs);
     const jobViews = ordered.map((entry) => jobViewOf(entry, this.context, nowMs));
     const plan = this.plan(jobViews, fleet, guaranteed, nowMs);
-    this.machineSnapshots.discard(plan.modifiedMachines);
+    this.machineSnapshots.invalidate(plan.modifiedMachines);
     reservations.replace(plan.reservations, nowMs);
     this.executor.execute(plan, nowMs);
     provisioner.scaleOut(plan, fleet.incoming);
@@ -122,7 +122,7 @@
     nowMs: number,
   ): PlacementPlan {
     const { jobs, usage, provisioner, estimates, reservations } = this.context;
-    const running = preemptibleWork(jobs.values(), guaranteed);
+    const running = summarizePreemptibleWork(jobs.values(), guaranteed);
     return place({
       jobs: jobViews,
       machines,
@@ -132,7 +132,7 @@
       maxEvictions: MAX_EVICTIONS,
       maxPreemptors: MAX_PREEMPTORS,
       canPreemptFor: (job) => mayPreempt(job, running),
-      isRefused: (spec, zone) => provisioner.isEverythingRefused(spec, zone, nowMs),
+      isCapacityRefused: (spec, zone) => provisioner.isEverythingRefused(spec, zone, nowMs),
       isGuaranteed: (jobId) => {
         const job = jobs.get(jobId);
         return job !== undefined && guaranteed.has(job);
--- a/src/coordination/scheduling/stopCost.ts
+++ b/src/coordination/scheduling/stopCost.ts
@@ -1,23 +1,23 @@
-/** What stopping a running attempt would cost, and which attempts of a machine may be stopped at all. */
+/** Determines which attempts on a machine may be preempted, and the work lost by stopping them. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import { EARLY_START_TASKS, OVERDUE_S } from "./queueEntry.js";
 import type { VictimView } from "./views.js";
 
-/** An attempt that is stopped sooner than this after its start doesn't count as a start to the job's users. */
-const START_GRACE_MS = 33_000;
-/** Stopping a service interrupts its users: as bad as losing ten minutes of work. */
+/** An attempt that is stopped within this time after its start does not count as a start for the job's users. */
+const EARLY_START_GRACE_MS = 33_000;
+/** Cost of stopping a service: the interruption of its users counts as ten minutes of lost work. */
 const SERVICE_LOSS_S = 600;
-/** An attempt that doesn't run yet has lost no more than the effort of its start. */
+/** Cost of stopping an attempt that is not running yet: only the effort of starting it is lost. */
 const UNSTARTED_LOSS_S = 1;
-/** Seconds of work that a start from a checkpoint repeats or waits for, beside saving it. */
+/** Seconds that a restart from a checkpoint repeats or waits for, in addition to saving the checkpoint. */
 const RESTART_LOSS_S = 2;
 
-/** The attempts on a machine that may be stopped one by one. */
-export function victimsOn(machine: Machine): VictimView[] {
+/** Returns the attempts on a machine that may be preempted individually. */
+export function victimsOnMachine(machine: Machine): VictimView[] {
   const victims: VictimView[] = [];
   for (const attempt of machine.attempts) {
     const { spec } = attempt.job;
-    // A gang is no single victim: stopping one member ends them all.
+    // Gang members are not preempted individually: stopping one ends the whole gang.
     if (attempt.stop || (spec.kind === "gang" && spec.tasks > 1)) continue;
     victims.push({
       ref: attempt,
@@ -33,10 +33,10 @@
   return victims;
 }
 
-/** Seconds of work that stopping the attempt throws away; Infinity: it may not be stopped. */
+/** Returns the seconds of work lost by stopping the attempt; Infinity if it may not be stopped. */
 function stopLossS(attempt: Attempt, nowMs: number): number {
   const { spec } = attempt.job;
-  if (hasJustBegun(attempt.job, nowMs)) return Infinity;
+  if (isInEarlyStartGrace(attempt.job, nowMs)) return Infinity;
   if (spec.kind === "service") return SERVICE_LOSS_S;
   if (attempt.runningMs === null) return UNSTARTED_LOSS_S;
   if (spec.checkpointS > 0) return spec.saveS + RESTART_LOSS_S;
@@ -44,13 +44,14 @@
 }
 
 /**
- * Has an overdue array just started its first tasks out of turn? They go on for a while: preempted again and again within
- * seconds, a job of the lowest priority would never have started in its users' eyes. Pure.
+ * Returns true if the job is an array whose start was overdue and whose first tasks have just started out of turn.
+ * These tasks are not preempted for a while: if they were repeatedly preempted within seconds, a job of the lowest
+ * priority would never start from its users' point of view. Pure function.
  */
-export function hasJustBegun(job: Job, nowMs: number): boolean {
+export function isInEarlyStartGrace(job: Job, nowMs: number): boolean {
   if (job.spec.kind !== "array" || job.doneCount > 0 || job.attempts.size > EARLY_START_TASKS) return false;
   if (nowMs - job.submittedMs < OVERDUE_S * 1000) return false;
   for (const { runningMs } of job.attempts)
-    if (runningMs !== null && nowMs - runningMs > START_GRACE_MS) return false;
+    if (runningMs !== null && nowMs - runningMs > EARLY_START_GRACE_MS) return false;
   return true;
 }
--- a/src/coordination/scheduling/views.ts
+++ b/src/coordination/scheduling/views.ts
@@ -1,13 +1,13 @@
 /**
- * Snapshots that the pure scheduling decisions work on. The scheduler builds them for each cycle, and decisions may
- * write on them: they plan by taking room out of the snapshots.
+ * Snapshot types for the scheduling decisions, which are pure apart from these views. The scheduler provides the views
+ * for each cycle, and decisions modify them: planning a task subtracts its resources from the view.
  */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import type { Resources } from "../../bookkeeping/resources.js";
 
-/** A running task that may be stopped on its own to make room. */
+/** A running task that may be preempted individually. */
 export interface VictimView {
-  /** The scheduler's handle of the attempt; decisions pass it back unread. */
+  /** Opaque handle of the attempt, which decisions return unchanged in evictions. */
   ref: unknown;
   jobId: string;
   team: string;
@@ -15,48 +15,53 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Seconds of work lost by stopping it now. */
+  /** Returns the seconds of work lost by stopping the task now; Infinity if it may not be stopped. */
   lossS: (nowMs: number) => number;
 }
 
-/** A machine as one scheduling cycle sees it. */
+/** The state of a machine within one scheduling cycle. */
 export interface MachineView {
   name: string;
   type: MachineType;
   zone: string;
   spot: boolean;
   free: Resources;
-  /** Resources of tasks that are being stopped: free soon, but not yet. */
+  /** Resources of tasks that are being stopped; not part of `free` until the tasks have ended. */
   stopping: Resources;
   images: Set<string>;
-  /** Images on their way: a task can wait for one of them without a fetch of its own. */
+  /** Images that are being fetched; a task that needs one of them starts no fetch of its own. */
   fetching: Set<string>;
+  /** Size of the pending image fetches, in GB. */
   backlogGb: number;
-  /** A controller runs in its zone, so that a network partition between zones doesn't cut off its heartbeats. */
+  /**
+   * True if a controller runs in the machine's zone, so a network partition between zones does not cut off heartbeats.
+   */
   zoneHasController: boolean;
-  /** Highest priority of the tasks there that wait for an image fetch; -1: none. */
+  /** Highest priority of the machine's tasks that wait for an image fetch; -1 if there are none. */
   fetchPriority: number;
-  /** Resources that a reservation keeps, for which job, and in how many seconds that job expects to begin. */
+  /**
+   * Reserved resources, the job that holds them, and the seconds until its expected start; null if none are reserved.
+   */
   reserved: { jobId: string; amount: Resources; etaS: number } | null;
-  /** Built on the first call only: most cycles stop nothing. */
+  /** Returns the possible victims. They are computed on the first call because most cycles preempt nothing. */
   victims: () => VictimView[];
-  /** What each of its accelerators has to keep beside it for GPU work; null: no GPU work may be placed here. */
+  /** Resources to keep free for GPU jobs with each free GPU; null if no GPU job may be placed here. */
   acceleratorReserve: AcceleratorReserve | null;
-  /** GPU work runs here now, so the machine is paid for anyway. */
+  /** True if a GPU task runs on the machine, which is then paid for regardless of other tasks. */
   runsGpuWork: boolean;
-  /** Since when it has had no attempts; null: it has some, or it is not up. */
+  /** Steady time since which the machine has had no attempts; null if it has attempts or is not up. */
   idleSinceMs: number | null;
-  /** Seconds until everything that runs here is expected to have ended. */
+  /** Returns the expected seconds until all tasks on the machine have ended. */
   freeInS: (nowMs: number) => number;
 }
 
-/** The most that GPU jobs seen so far need for each accelerator. */
+/** Highest CPU and memory demand per GPU of the GPU jobs seen so far. */
 export interface AcceleratorReserve {
   cpus: number;
   memoryGb: number;
 }
 
-/** A machine with nothing on it, as it will be once it has booted. */
+/** Returns the view of an unnamed, empty machine, as it will be after booting. */
 export function emptyMachineView(
   type: MachineType,
   zone: string,
@@ -84,39 +89,45 @@
   };
 }
 
-/** A job as one scheduling cycle sees it. */
+/** The state of a job within one scheduling cycle. */
 export interface JobView {
   spec: JobSpec;
-  /** Tasks without result or attempt. */
-  pending: number;
-  /** The most tasks to place in this cycle: a large job that has waited long begins with a few. */
+  /** Number of tasks without a result or an attempt. */
+  pendingTasks: number;
+  /** Maximum number of tasks to place in this cycle; a large job that has waited long starts with a few tasks. */
   taskLimit: number;
-  /** Of these, the tasks to place before other jobs of its kind have their fair share. */
+  /** Number of tasks to place before competing jobs have received their fair shares; Infinity if not limited. */
   fairShareTasks: number;
-  /** It falls within its team's guaranteed quota. */
+  /** True if the job is within its team's guaranteed quota. */
   isGuaranteed: boolean;
-  /** Attempts that may be running, by zone. */
+  /** Number of tasks by zone that may be running or that the cycle has planned or reserved. */
   zones: Map<string, number>;
-  /** Machines that it has lately failed on. */
-  avoid: Set<string>;
-  /** Seconds that its tasks may still wait for a start without missing their class's objective; null: none applies. */
+  /** Names of the machines on which the job recently failed. */
+  avoidedMachines: Set<string>;
+  /** Seconds that tasks may still wait to start without missing their class's wait objective; null if none applies. */
   waitTargetLeftS: number | null;
-  /** Machine that consolidation moves it to; null: any. */
+  /** Name of the machine to which consolidation moves the job; null if there is none. */
   preferredMachine: string | null;
-  /** Seconds that one of its tasks is expected to run; Infinity: a service. */
-  taskS: number;
-  /** It has waited so long that room is reserved for it piece by piece. */
+  /** Expected run time of one task, in seconds; Infinity for a service. */
+  expectedTaskS: number;
+  /** True if the job has waited so long that capacity is reserved for it as it becomes available. */
   isStarving: boolean;
 }
 
-/** The teams' limits as one scheduling cycle sees them (rule `quota`); counts are of tasks of the given job's shape. */
+/**
+ * The teams' quotas within one scheduling cycle (rule `quota`). All results are numbers of tasks with the shape of the
+ * given job.
+ */
 export interface QuotaView {
-  /** Tasks that the team may still start. */
-  room(spec: JobSpec): number;
-  /** Tasks that the team may start once its tasks that are being stopped have ended. */
-  roomWhenStopped(spec: JobSpec): number;
-  /** Tasks that the team may start once all its work has ended that ends by itself or may be stopped for the job. */
-  attainable(spec: JobSpec): number;
-  /** Counts tasks that the cycle plans to start. */
-  take(spec: JobSpec, tasks: number): void;
+  /** Returns the number of tasks that the team may start now. */
+  headroom(spec: JobSpec): number;
+  /** Returns the number of tasks that the team may start once its stopping tasks have ended. */
+  headroomAfterStops(spec: JobSpec): number;
+  /**
+   * Returns the number of tasks that the team may start once all tasks that end by themselves or that the job may
+   * preempt have ended.
+   */
+  attainableHeadroom(spec: JobSpec): number;
+  /** Adds tasks that the cycle plans to start to the team's planned usage. */
+  recordPlannedTasks(spec: JobSpec, tasks: number): void;
 }
--- a/test/cycleCost.test.ts
+++ b/test/cycleCost.test.ts
@@ -45,15 +45,15 @@
   };
   return {
     spec,
-    pending: spec.tasks,
+    pendingTasks: spec.tasks,
     taskLimit: Infinity,
     fairShareTasks: Infinity,
     isGuaranteed: false,
     zones: new Map(),
-    avoid: new Set(),
+    avoidedMachines: new Set(),
     waitTargetLeftS: null,
     preferredMachine: null,
-    taskS: 20,
+    expectedTaskS: 20,
     isStarving: false,
   };
 }
@@ -73,15 +73,15 @@
     incoming: [],
     reservations,
     quota: {
-      room: () => Infinity,
-      roomWhenStopped: () => Infinity,
-      attainable: () => Infinity,
-      take: () => undefined,
+      headroom: () => Infinity,
+      headroomAfterStops: () => Infinity,
+      attainableHeadroom: () => Infinity,
+      recordPlannedTasks: () => undefined,
     },
     maxEvictions: 40,
     maxPreemptors: 8,
     canPreemptFor: () => false,
-    isRefused: () => false,
+    isCapacityRefused: () => false,
     isGuaranteed: () => true,
     interruptionsPerHour: 1,
     nowMs: 0,
@@ -139,7 +139,7 @@
   ];
   for (const { name, taskS, isLent } of cases) {
     const other = waitingJob(1, { tasks: 1, cpus: 16, memoryGb: 10, zone: reservedZone });
-    other.taskS = taskS;
+    other.expectedTaskS = taskS;
     const plan = place(cycleInput([other, gang], fourOfSix(), nextReservations));
     const isPlaced = plan.placements.some((placement) => placement.jobId === other.spec.id);
     assert.equal(isPlaced, isLent, name);
--- a/test/failureDetection.test.ts
+++ b/test/failureDetection.test.ts
@@ -5,15 +5,15 @@
 import type { JobSpec } from "../src/protocol/model.js";
 import { World } from "./fakes/world.js";
 
-/** More machines than a job without a mistake fails on. */
+/** Enough machines for a job that failed on all of them to count as faulty. */
 const MANY_MACHINES = ["m1", "m2", "m3", "m4"];
 
 interface JobHistory {
   id?: string;
-  /** Machines on which tasks of it have failed. */
+  /** Names of the machines on which the job's tasks have failed. */
   failedOn: string[];
   doneCount?: number;
-  /** Machines on which tasks of it run. */
+  /** Names of the machines on which the job's tasks run. */
   runsOn?: string[];
 }
 
@@ -29,20 +29,20 @@
   return job;
 }
 
-describe("a machine is faulty when jobs fail on it that run elsewhere; jobs that fail everywhere blame none", () => {
+describe("a machine is faulty if jobs fail on it that are not known to fail everywhere", () => {
   const cases: { name: string; failures: [job: JobHistory, count: number][]; isFaulty: boolean }[] = [
     {
-      name: "a job that ended well elsewhere",
+      name: "two failures of a job that succeeded elsewhere mark the machine as faulty",
       failures: [[{ failedOn: ["m1"], doneCount: 3 }, 2]],
       isFaulty: true,
     },
     {
-      name: "one failure may be chance",
+      name: "a single failure does not mark the machine as faulty",
       failures: [[{ failedOn: ["m1"], doneCount: 3 }, 1]],
       isFaulty: false,
     },
     {
-      name: "two jobs of which nothing else is known",
+      name: "failures of two jobs with unknown results elsewhere mark the machine as faulty",
       failures: [
         [{ id: "a", failedOn: ["m1"] }, 2],
         [{ id: "b", failedOn: ["m1"] }, 1],
@@ -50,12 +50,12 @@
       isFaulty: true,
     },
     {
-      name: "one job of which nothing else is known",
+      name: "failures of one job with unknown results elsewhere do not mark the machine as faulty",
       failures: [[{ failedOn: ["m1"] }, 9]],
       isFaulty: false,
     },
     {
-      name: "two jobs that fail wherever they start",
+      name: "failures of jobs that fail everywhere are ignored",
       failures: [
         [{ id: "a", failedOn: MANY_MACHINES }, 5],
         [{ id: "b", failedOn: MANY_MACHINES }, 5],
@@ -63,7 +63,7 @@
       isFaulty: false,
     },
     {
-      name: "such a one beside one that runs elsewhere",
+      name: "failures of a job that runs elsewhere count beside those of a job that fails everywhere",
       failures: [
         [{ id: "a", failedOn: MANY_MACHINES }, 5],
         [{ id: "b", failedOn: ["m1"], runsOn: ["m9"] }, 2],
@@ -85,17 +85,25 @@
     });
 });
 
-describe("a job is faulty when it fails wherever it starts", () => {
+describe("a job is faulty if it fails on every machine", () => {
   const cases: { name: string; history: JobHistory; isFaulty: boolean }[] = [
-    { name: "failed on many machines", history: { failedOn: MANY_MACHINES }, isFaulty: true },
     {
-      name: "it has ended well somewhere",
+      name: "a job that failed on many machines is faulty",
+      history: { failedOn: MANY_MACHINES },
+      isFaulty: true,
+    },
+    {
+      name: "a job with a finished task is not faulty",
       history: { failedOn: MANY_MACHINES, doneCount: 1 },
       isFaulty: false,
     },
-    { name: "it runs somewhere", history: { failedOn: MANY_MACHINES, runsOn: ["m7"] }, isFaulty: false },
     {
-      name: "it runs only where it failed before",
+      name: "a job that runs on a machine where it has not failed is not faulty",
+      history: { failedOn: MANY_MACHINES, runsOn: ["m7"] },
+      isFaulty: false,
+    },
+    {
+      name: "a job that runs only on a machine where it failed is faulty",
       history: { failedOn: MANY_MACHINES, runsOn: ["m2"] },
       isFaulty: true,
     },
@@ -104,8 +112,8 @@
     test(name, () => assert.equal(jobLooksFaulty(buildJob(history)), isFaulty));
 });
 
-/** Their users cancel them in the end; until then they are known, and cost the others nothing. */
-test("jobs submitted with a mistake fail everywhere: little room, no machine blamed, the team's other work goes on", async () => {
+// Guards against faulty jobs that use up machines and delay other jobs until their users cancel them.
+test("jobs that fail everywhere get few tasks, cause no cordons or scale-out and do not delay other jobs", async () => {
   const world = new World(41, { capacity: 10 });
   world.fleet.failsEverywhere = (ref) => ref.startsWith("job-6");
   await world.run(3);
@@ -116,7 +124,7 @@
     ),
   );
   await world.run(20);
-  const soundJobs = [0, 1, 2, 3].map((i) =>
+  const healthyJobs = [0, 1, 2, 3].map((i) =>
     world.users.submit(
       { ref: `job-50000${i}`, crew: i % 2 ? "one" : "two", spores: 8, cores: 1, memoryGb: 1 },
       4,
@@ -124,13 +132,13 @@
   );
   const startedBefore = world.startedTasks;
   await world.run(60);
-  for (const job of soundJobs) assert.equal(job.finalPhase, "done", `${job.spec.ref} in time`);
+  for (const job of healthyJobs) assert.equal(job.finalPhase, "done", `${job.spec.ref} in time`);
   assert.ok(
     world.startedTasks - startedBefore < 32 + 3 * 2 * 20,
     `${world.startedTasks - startedBefore} starts`,
   );
   const machineCount = world.cloud.machines.size;
-  assert.ok(machineCount <= 6, `${machineCount} machines for it`);
+  assert.ok(machineCount <= 6, `${machineCount} machines, expected at most 6`);
   for (const job of faultyJobs) world.users.cancel(job);
   await world.run(15);
   for (const job of faultyJobs) assert.equal(job.finalPhase, "withdrawn");
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -18,10 +18,8 @@
 import type { JobKind, JobSpec, MachineType, Priority } from "../src/protocol/model.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
-/*
- * Pins what a cycle decides on randomly built snapshots, and what it leaves in the views, to the last digit: whoever
- * reorganises the placement sees at once whether a candidate's order or a reservation has changed.
- */
+// Guards against unintended changes of placement: a digest of each plan and of the views that the cycle modified reveals
+// any change in the order of candidates or in reservations.
 
 const ZONES = ["a", "b", "c"];
 const IMAGES = ["i0", "i1", "i2", "i3", "i4"];
@@ -75,7 +73,7 @@
   };
 }
 
-/** As many of its tasks as the team may have accelerators hold most of the team's limit. */
+/** Returns a spec of which `maxGpus` tasks use most of the team's quota. */
 function runningSpec(team: string): JobSpec {
   return { ...randomSpec(seededRandom(0), "running"), team, cpus: 9, gpus: 0.8 };
 }
@@ -85,15 +83,15 @@
   const isArray = spec.kind === "array";
   return {
     spec,
-    pending: isArray ? 1 + random.below(spec.tasks) : spec.tasks,
+    pendingTasks: isArray ? 1 + random.below(spec.tasks) : spec.tasks,
     taskLimit: isArray && random.chance(0.2) ? random.below(6) : Infinity,
     fairShareTasks: isArray && random.chance(0.25) ? random.below(5) : Infinity,
     isGuaranteed: random.chance(0.4),
     zones: new Map(spec.oneZone || random.chance(0.7) ? [] : [[random.pick(ZONES), 1 + random.below(3)]]),
-    avoid: new Set(random.chance(0.2) ? [`host-${random.below(20)}`] : []),
+    avoidedMachines: new Set(random.chance(0.2) ? [`host-${random.below(20)}`] : []),
     waitTargetLeftS: random.chance(0.4) ? random.below(15) : null,
     preferredMachine: random.chance(0.1) ? `host-${random.below(20)}` : null,
-    taskS: random.pick([3, 20, 120]),
+    expectedTaskS: random.pick([3, 20, 120]),
     isStarving: random.chance(0.3),
   };
 }
@@ -112,7 +110,7 @@
   };
 }
 
-function randomMachine(random: SeededRandom, name: string, fullShare: number): MachineView {
+function randomMachine(random: SeededRandom, name: string, busyShare: number): MachineView {
   const type = random.pick([...TYPES, TYPES[0]!]);
   const reserve = type.gpus > 0 && random.chance(0.7) ? { cpus: 4, memoryGb: 12 } : null;
   const view = emptyMachineView(type, random.pick(ZONES), random.chance(0.4), reserve);
@@ -125,7 +123,7 @@
   view.backlogGb = view.fetching.size * 2;
   if (view.fetching.size > 0) view.fetchPriority = random.below(4);
   const victims: VictimView[] = [];
-  if (random.chance(fullShare)) {
+  if (random.chance(busyShare)) {
     for (let i = 0; view.free.cpus > 1 && i < 24; i++) {
       const victim = randomVictim(random, `${name}/${i}`);
       if (victim.cpus > view.free.cpus || victim.memoryGb > view.free.memoryGb) break;
@@ -144,7 +142,7 @@
   return view;
 }
 
-function randomInput(seed: number, machines: number, fullShare: number): PlacementInput {
+function randomInput(seed: number, machines: number, busyShare: number): PlacementInput {
   const random = seededRandom(seed);
   const jobs = Array.from({ length: 90 }, (_, i) => randomJob(random, i));
   const usage = new QuotaUsage(
@@ -156,27 +154,27 @@
       maxGpus: 10 + 10 * index,
     })),
   );
-  // With odd seeds, work that ends by itself holds most of each team's limit.
+  // With odd seeds, running tasks that end by themselves use most of each team's quota.
   if (seed % 2 === 1)
     for (const team of usage.teams.values()) usage.add(runningSpec(team.name), team.maxGpus);
   return {
     jobs,
-    machines: Array.from({ length: machines }, (_, i) => randomMachine(random, `host-${i}`, fullShare)),
+    machines: Array.from({ length: machines }, (_, i) => randomMachine(random, `host-${i}`, busyShare)),
     incoming: Array.from({ length: 8 }, () => randomMachine(random, "", 0)),
     reservations: [],
     quota: quotaView(usage, new Map()),
     maxEvictions: 40,
     maxPreemptors: 8,
     canPreemptFor: (job) => job.spec.priority > 0 || job.isGuaranteed,
-    isRefused: (spec, zone) => zone === "b" && spec.gpus > 0,
+    isCapacityRefused: (spec, zone) => zone === "b" && spec.gpus > 0,
     isGuaranteed: (jobId) => jobId.charCodeAt(jobId.length - 1) % 2 === 0,
     interruptionsPerHour: 2,
     nowMs: 1_000_000,
   };
 }
 
-/** The plan and what it left in the views, without the functions in them. */
-function listing(plan: PlacementPlan, input: PlacementInput): unknown {
+/** Returns the plan and the modified views without functions, as input of the digest. */
+function digestInput(plan: PlacementPlan, input: PlacementInput): unknown {
   const machines = [...input.machines, ...input.incoming].map((view) => ({
     name: view.name,
     free: view.free,
@@ -189,7 +187,7 @@
   }));
   const jobs = input.jobs.map((job) => [
     job.spec.id,
-    job.pending,
+    job.pendingTasks,
     job.taskLimit,
     job.fairShareTasks,
     job.zones,
@@ -203,7 +201,7 @@
   };
 }
 
-/** The input of the next cycle: reserved resources are free again, and some of what was stopped is gone. */
+/** Returns the next cycle's input: reserved resources are free again, and stopping tasks on odd machines have ended. */
 function nextCycle(input: PlacementInput, reservations: Reservation[]): PlacementInput {
   for (const [index, view] of input.machines.entries()) {
     if (view.reserved) addResources(view.free, view.reserved.amount);
@@ -214,7 +212,7 @@
   return { ...input, reservations, nowMs: input.nowMs + 1000 };
 }
 
-interface PinnedCycle {
+interface CycleSummary {
   placements: number;
   evictions: number;
   unplaced: number;
@@ -223,28 +221,28 @@
   digest: string;
 }
 
-function runCycle(input: PlacementInput): { plan: PlacementPlan; pinned: PinnedCycle } {
+function runCycle(input: PlacementInput): { plan: PlacementPlan; summary: CycleSummary } {
   const plan = place(input);
   return {
     plan,
-    pinned: {
+    summary: {
       placements: plan.placements.length,
       evictions: plan.evictions.length,
       unplaced: plan.unplaced.length,
       reservations: plan.reservations.length,
       machinesExamined: plan.machinesExamined,
-      digest: digestOf(listing(plan, input)),
+      digest: digestOf(digestInput(plan, input)),
     },
   };
 }
 
-test("two cycles over randomly built snapshots come to the plans that were recorded", () => {
-  const cases: { seed: number; machines: number; fullShare: number; want: PinnedCycle[] }[] = [
+test("two cycles over random snapshots produce the recorded plans", () => {
+  const cases: { seed: number; machines: number; busyShare: number; expected: CycleSummary[] }[] = [
     {
       seed: 1,
       machines: 40,
-      fullShare: 0.9,
-      want: [
+      busyShare: 0.9,
+      expected: [
         {
           placements: 30,
           evictions: 40,
@@ -266,8 +264,8 @@
     {
       seed: 2,
       machines: 40,
-      fullShare: 0.9,
-      want: [
+      busyShare: 0.9,
+      expected: [
         {
           placements: 56,
           evictions: 29,
@@ -289,8 +287,8 @@
     {
       seed: 3,
       machines: 80,
-      fullShare: 0.6,
-      want: [
+      busyShare: 0.6,
+      expected: [
         {
           placements: 65,
           evictions: 40,
@@ -312,8 +310,8 @@
     {
       seed: 4,
       machines: 80,
-      fullShare: 0.97,
-      want: [
+      busyShare: 0.97,
+      expected: [
         {
           placements: 77,
           evictions: 40,
@@ -335,8 +333,8 @@
     {
       seed: 5,
       machines: 160,
-      fullShare: 0.4,
-      want: [
+      busyShare: 0.4,
+      expected: [
         {
           placements: 99,
           evictions: 40,
@@ -358,8 +356,8 @@
     {
       seed: 6,
       machines: 160,
-      fullShare: 0.9,
-      want: [
+      busyShare: 0.9,
+      expected: [
         {
           placements: 190,
           evictions: 34,
@@ -381,8 +379,8 @@
     {
       seed: 7,
       machines: 300,
-      fullShare: 0.95,
-      want: [
+      busyShare: 0.95,
+      expected: [
         {
           placements: 124,
           evictions: 40,
@@ -404,8 +402,8 @@
     {
       seed: 8,
       machines: 20,
-      fullShare: 1,
-      want: [
+      busyShare: 1,
+      expected: [
         {
           placements: 20,
           evictions: 40,
@@ -425,15 +423,15 @@
       ],
     },
   ];
-  for (const { seed, machines, fullShare, want } of cases) {
-    const input = randomInput(seed, machines, fullShare);
+  for (const { seed, machines, busyShare, expected } of cases) {
+    const input = randomInput(seed, machines, busyShare);
     const first = runCycle(input);
     const second = runCycle(nextCycle(input, first.plan.reservations));
-    assert.deepEqual([first.pinned, second.pinned], want, `seed ${seed}`);
+    assert.deepEqual([first.summary, second.summary], expected, `seed ${seed}`);
   }
 });
 
-test("a gang that must be in one zone waits in no zone when there is no machine at all", () => {
+test("a one-zone gang is left unplaced without a zone when there are no machines", () => {
   const input = randomInput(1, 0, 0);
   const gang = input.jobs.find(({ spec }) => spec.oneZone && spec.zone === null)!;
   const plan = place({ ...input, jobs: [gang], incoming: [] });
