--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -105,7 +105,7 @@
   applyMachineTypes({ fromCloud, changed }: { fromCloud: boolean; changed: boolean }): void {
     const { machines, estimates, singletons, writes } = this.components;
     for (const machine of machines.values())
-      if (machine.type) machine.type = estimates.typeNamed(machine.type.name) ?? machine.type;
+      if (machine.type) machine.type = estimates.findType(machine.type.name) ?? machine.type;
     const isStored = singletons.typesVersion > 0;
     if (!fromCloud || (isStored && !changed)) return;
     singletons.hasUnwrittenTypes = true;
--- a/src/coordination/machines/cordon.ts
+++ b/src/coordination/machines/cordon.ts
@@ -62,7 +62,8 @@
     const { spec } = attempt.job;
     if (spec.kind !== "array" || spec.checkpointS !== 0 || attempt.phase !== "running") return false;
     const runTimeS = attempt.runningMs === null ? 0 : (nowMs - attempt.runningMs) / 1000;
-    const remainingS = this.context.estimates.runTimes.expectedS(spec.className, spec.estimateS) - runTimeS;
+    const remainingS =
+      this.context.estimates.runTimes.expectedRunTimeS(spec.className, spec.estimateS) - runTimeS;
     return remainingS < noticeS * SAFE_NOTICE_FRACTION;
   }
 }
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -107,7 +107,7 @@
     machine.address = heartbeat.address;
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
-    machine.type = this.context.estimates.typeNamed(heartbeat.type) ?? machine.type;
+    machine.type = this.context.estimates.findType(heartbeat.type) ?? machine.type;
     machine.listedTasks = heartbeat.tasks;
     const wasUnusable =
       machine.state === "booting" || nowMs - machine.lastContactMs > this.context.suspectS * 1000;
--- a/src/coordination/provisioning/provisioner.ts
+++ b/src/coordination/provisioning/provisioner.ts
@@ -6,7 +6,7 @@
 import type { ConsolidationRounds } from "../consolidation/consolidationRounds.js";
 import type { Estimates } from "../scheduling/estimates.js";
 import type { PlacementPlan } from "../scheduling/placementPlan.js";
-import type { FleetScaling } from "../scheduling/scheduler.js";
+import type { FleetScaler } from "../scheduling/scheduler.js";
 import type { MachineView } from "../scheduling/views.js";
 import type { Attempts } from "../term/attempts.js";
 import type { CycleRequests } from "../term/cycleRequests.js";
@@ -39,7 +39,7 @@
 }
 
 /** Scales the fleet out and in: orders machines, deletes them, and applies what the cloud says of them. */
-export class Provisioner implements FleetScaling {
+export class Provisioner implements FleetScaler {
   private readonly orders: OpenOrders;
   private readonly refusals = new CapacityRefusals();
   private lastPlanMs = -Infinity;
@@ -80,7 +80,7 @@
       if (machines.isRemoved(name)) continue;
       const machine = machines.getOrCreate(name, order.zone);
       machine.spot = order.spot;
-      machine.type ??= estimates.typeNamed(order.type);
+      machine.type ??= estimates.findType(order.type);
     }
     if (names.length > 0) this.refusals.clear(order.type, order.zone, order.spot);
     if (names.length < order.count) this.refusals.recordRefusal(order, nowMs);
@@ -115,7 +115,7 @@
       machine.createdMs = nowMs - listed.ageS * 1000;
       log.info(`${listed.name}: found in the cloud's list (${listed.type} ${listed.zone}, ${listed.phase})`);
     }
-    machine.type ??= estimates.typeNamed(listed.type);
+    machine.type ??= estimates.findType(listed.type);
     if (machine.zone === "") machine.zone = listed.zone;
     if (machine.address === "") machine.address = listed.address;
     if (machine.state === "booting") machine.spot = listed.spot;
--- a/src/coordination/scheduling/completionTargets.ts
+++ b/src/coordination/scheduling/completionTargets.ts
@@ -1,9 +1,10 @@
-/** By when a job should be done: from its own deadline and the operators' service-level objectives. */
+/** Completion targets of a job, from its own deadline and the operator's service-level objectives. */
 import type { Objective } from "../../settings/platform.js";
 
 /**
- * Seconds from submission within which a job should be complete, in rising order: its own deadline, and what its class's
- * service-level objectives make of it. Empty: it has no target. Pure.
+ * Returns the times from submission, in seconds and ascending, within which a job should be complete: its own deadline,
+ * the multiples of it that its class's "deadline" objectives name, and the times of its class's "finished" objectives.
+ * The list is empty for a job without a target. Pure.
  */
 export function completionTargetsS(
   className: string,
--- a/src/coordination/scheduling/cycleGap.ts
+++ b/src/coordination/scheduling/cycleGap.ts
@@ -1,25 +1,28 @@
 /**
- * The pause between two scheduling cycles. Whatever ends or arrives meanwhile is placed together in the next one, and
- * acknowledgements, grants and writes get their turn.
+ * The gap between two scheduling cycles. Changes that happen during the gap are handled together in the next cycle, and
+ * the leader uses the gap to process heartbeat acknowledgements, grants and writes.
  */
 
-/** The shortest pause: changes that come this close together share a cycle. */
+/** The shortest gap: changes that are closer together than this share a cycle. */
 const MIN_CYCLE_GAP_MS = 50;
-/** The pause is this many times the length of the last cycle: shorter, cycles of 627 machines left no time for the rest. */
+/**
+ * The gap is this many times as long as the last cycle. With a smaller factor, cycles over 627 machines left no time for
+ * the leader's other work.
+ */
 const CYCLE_GAP_FACTOR = 10;
-/** The longest pause of a leader that keeps up. */
+/** The longest gap of a leader that is not overloaded. */
 const MAX_CYCLE_GAP_MS = 400;
-/** A leader whose timers fire this late is overloaded: more urgent work is waiting, so the pause may be longer. */
+/** A leader whose timers fire later than this is overloaded: more urgent work is waiting, so the gap may be longer. */
 const OVERLOADED_LAG_MS = 200;
-/** The longest pause of an overloaded leader. */
+/** The longest gap of an overloaded leader. */
 const MAX_OVERLOADED_CYCLE_GAP_MS = 1500;
 
 /**
- * The pause after a cycle of this length, with timers that fire `lagMs` late. On a small share of a core a cycle takes
- * half a second; with pauses of 400 ms at the most, a new leader spent most of its share on cycles while workers' leases
- * expired. Pure.
+ * Returns the gap after a cycle that took `cycleDurationMs`, on a leader whose timers fire `lagMs` late. On a small share
+ * of a core a cycle takes half a second; when gaps were limited to 400 ms, a new leader spent most of its CPU time on
+ * cycles while workers' leases expired. Pure.
  */
-export function cycleGapMs(lengthMs: number, lagMs: number): number {
-  const longestMs = lagMs > OVERLOADED_LAG_MS ? MAX_OVERLOADED_CYCLE_GAP_MS : MAX_CYCLE_GAP_MS;
-  return Math.min(longestMs, Math.max(MIN_CYCLE_GAP_MS, lengthMs * CYCLE_GAP_FACTOR));
+export function cycleGapMs(cycleDurationMs: number, lagMs: number): number {
+  const maxGapMs = lagMs > OVERLOADED_LAG_MS ? MAX_OVERLOADED_CYCLE_GAP_MS : MAX_CYCLE_GAP_MS;
+  return Math.min(maxGapMs, Math.max(MIN_CYCLE_GAP_MS, cycleDurationMs * CYCLE_GAP_FACTOR));
 }
--- a/src/coordination/scheduling/deadlineOrder.ts
+++ b/src/coordination/scheduling/deadlineOrder.ts
@@ -1,28 +1,29 @@
 /**
- * Which jobs can meet their targets, and in which order (Moore and Hodgson's algorithm). With less room than work, "least
- * time left first" makes every job a little late. So the jobs are taken by due time, and whenever one would be late, the
- * largest of those taken steps back: one job misses its target, and the others keep theirs. Pure.
+ * Minimizes the number of jobs that miss their targets (Moore-Hodgson algorithm). When there is more work than capacity,
+ * earliest due date first can make every job slightly late. This algorithm adds jobs in order of their due time, and
+ * whenever the job added last would be late, it removes the largest job added so far: that job misses its target, and the
+ * others meet theirs. Pure.
  */
 import { byArrival, type QueueEntry } from "./queueEntry.js";
 
-/** A split of jobs into those that meet their targets, in the order of service, and the others. */
+/** The jobs that are expected to meet a target, in scheduling order, and the remaining jobs. */
 export interface DeadlineOrder {
   onTime: QueueEntry[];
-  /** In no particular order. */
+  /** The other jobs, in no particular order. */
   remaining: QueueEntry[];
-  /** Seconds from now at which those on time are done. */
+  /** Seconds from now until all jobs of `onTime` are expected to be complete. */
   endS: number;
 }
 
 /**
- * Orders the jobs that can be on time in `room` cpus (or accelerators) that are free `startS` seconds from now. Jobs that
- * step back from their nearest target are tried again at their next, looser one.
+ * Orders the jobs that can meet a target on `capacity` CPUs (or GPUs) that become free `startS` seconds from now. A job
+ * that can't meet its nearest target is considered again for its next, later one.
  */
-export function orderByDeadline(entries: QueueEntry[], room: number, startS: number): DeadlineOrder {
+export function orderByDeadline(entries: QueueEntry[], capacity: number, startS: number): DeadlineOrder {
   const result: DeadlineOrder = { onTime: [], remaining: entries, endS: startS };
-  const levels = Math.max(0, ...entries.map((entry) => entry.targetsLeftS.length));
+  const levels = Math.max(0, ...entries.map((entry) => entry.timeToTargetsS.length));
   for (let level = 0; level < levels; level++) {
-    const { onTime, remaining, endS } = orderByTarget(result.remaining, level, room, result.endS);
+    const { onTime, remaining, endS } = orderByTarget(result.remaining, level, capacity, result.endS);
     result.onTime.push(...onTime);
     result.remaining = remaining;
     result.endS = endS;
@@ -30,8 +31,13 @@
   return result;
 }
 
-/** The same for one level of targets: 0 is each job's nearest. */
-function orderByTarget(entries: QueueEntry[], level: number, room: number, startS: number): DeadlineOrder {
+/** Orders the jobs that can meet their target of one level. Level 0 is each job's nearest target. */
+function orderByTarget(
+  entries: QueueEntry[],
+  level: number,
+  capacity: number,
+  startS: number,
+): DeadlineOrder {
   const onTime: QueueEntry[] = [];
   const remaining: QueueEntry[] = [];
   let endS = startS;
@@ -40,30 +46,30 @@
   );
   for (const entry of byDueTime) {
     const dueS = dueInS(entry, level);
-    if (entry.taskS > dueS) {
+    if (entry.taskRunTimeS > dueS) {
       remaining.push(entry);
       continue;
     }
     onTime.push(entry);
-    endS += entry.remainingWork / room;
-    if (Math.max(endS, entry.taskS) <= dueS) continue;
+    endS += entry.remainingWork / capacity;
+    if (Math.max(endS, entry.taskRunTimeS) <= dueS) continue;
     const largest = removeLargest(onTime);
     remaining.push(largest);
-    endS -= largest.remainingWork / room;
+    endS -= largest.remainingWork / capacity;
   }
   return { onTime, remaining, endS };
 }
 
-/** A job without a target of that level can't meet it. */
+/** Returns the seconds until the target of that level; -Infinity for a job without one, which thus counts as late. */
 function dueInS(entry: QueueEntry, level: number): number {
-  return entry.targetsLeftS[level] ?? -Infinity;
+  return entry.timeToTargetsS[level] ?? -Infinity;
 }
 
-/** Takes the entry with the most work left out of a list that is not empty; of equals, the first. */
+/** Removes and returns the entry with the most remaining work, the first of equals. The list must not be empty. */
 function removeLargest(entries: QueueEntry[]): QueueEntry {
-  let largest = 0;
+  let largestIndex = 0;
   for (let index = 1; index < entries.length; index++) {
-    if (entries[index]!.remainingWork > entries[largest]!.remainingWork) largest = index;
+    if (entries[index]!.remainingWork > entries[largestIndex]!.remainingWork) largestIndex = index;
   }
-  return entries.splice(largest, 1)[0]!;
+  return entries.splice(largestIndex, 1)[0]!;
 }
--- a/src/coordination/scheduling/estimates.ts
+++ b/src/coordination/scheduling/estimates.ts
@@ -1,67 +1,73 @@
 /**
- * What experience teaches a leader's process: machine types, run times, needs of accelerator jobs, spot
- * interruptions. Outlives terms, is never relied on for a proof.
+ * Estimates that a controller process learns while it runs: run times, resource needs of GPU jobs and the rate of spot
+ * interruptions, together with the machine types. They are kept across terms, and no safety rule depends on them.
  */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import { RunTimeEstimator } from "./runTimeEstimator.js";
 import type { AcceleratorReserve } from "./views.js";
 
 const MS_PER_HOUR = 3_600_000;
-/** Spot machines are counted every tick; after a longer gap nobody knows how many ran meanwhile. */
+/**
+ * Spot machines are counted at every tick. A gap between two counts that is longer than this adds no machine hours,
+ * because the number of machines that ran in it is unknown.
+ */
 const MAX_SPOT_SAMPLE_GAP_MS = 2000;
 
-/** What a controller knows across terms: machine types, run times, GPU jobs' needs and the rate of spot interruptions. */
+/** Owns the machine types and the estimates that a controller keeps across terms. */
 export class Estimates {
+  /** The machine types that the cloud offers; empty until they are known. */
   types: MachineType[] = [];
-  /** Machine types have been read; without them nothing can be placed. */
+  /** Whether the machine types have been received. No scheduling cycle runs before that. */
   areTypesKnown = false;
   readonly runTimes = new RunTimeEstimator();
-  /** Counts changes of what `acceleratorReserveOn` returns. */
+  /** Grows whenever results of `acceleratorReserveOn` may have changed because a new class of GPU jobs was recorded. */
   acceleratorReserveRevision = 0;
-  /** The first GPU job seen of each class. */
+  /** The first GPU job recorded of each class. */
   private readonly gpuJobByClass = new Map<string, JobSpec>();
 
-  /** Interruptions seen, and hours that all spot machines ran; starts with a guess of one interruption in an hour. */
+  /** Recorded spot interruptions. Together, the initial values are a prior of one interruption per machine hour. */
   private spotInterruptions = 1;
-  private spotHours = 1;
+  /** Hours that spot machines have run, summed over all of them. */
+  private spotMachineHours = 1;
   private lastSpotSampleMs = -Infinity;
 
   constructor(
-    /** Zones in which a controller runs. */
+    /** Names of the zones in which a controller runs. */
     readonly controllerZones: Set<string>,
   ) {}
 
-  /** Null: the cloud offers no such type, or types are not known yet. */
-  typeNamed(name: string): MachineType | null {
+  /** Returns the machine type of that name, or null if the cloud offers none or the types are not known yet. */
+  findType(name: string): MachineType | null {
     return this.types.find((type) => type.name === name) ?? null;
   }
 
-  /** Replaces the machine types. True when more than prices has changed. */
+  /** Replaces the machine types. Returns whether the types are the first ones or differ in more than their prices. */
   setTypes(types: MachineType[]): boolean {
-    const isChanged = !this.areTypesKnown || withoutPrices(types) !== withoutPrices(this.types);
+    const isChanged =
+      !this.areTypesKnown || serializeWithoutPrices(types) !== serializeWithoutPrices(this.types);
     this.types = types;
     this.areTypesKnown = true;
     return isChanged;
   }
 
-  /** A spot machine was interrupted by the cloud. */
+  /** Records that the cloud interrupts a spot machine. */
   recordSpotInterruption(): void {
     this.spotInterruptions++;
   }
 
-  /** So many spot machines are up at this moment; to be called at every tick. */
+  /** Records the number of spot machines that are up now. To be called at every tick. */
   recordSpotUptime(machines: number, nowMs: number): void {
-    const sinceMs = nowMs - this.lastSpotSampleMs;
-    if (sinceMs < MAX_SPOT_SAMPLE_GAP_MS) this.spotHours += (machines * sinceMs) / MS_PER_HOUR;
+    const elapsedMs = nowMs - this.lastSpotSampleMs;
+    if (elapsedMs < MAX_SPOT_SAMPLE_GAP_MS) this.spotMachineHours += (machines * elapsedMs) / MS_PER_HOUR;
     this.lastSpotSampleMs = nowMs;
   }
 
-  /** Interruptions of one spot machine in an hour, as seen so far. */
+  /** Estimated interruptions of one spot machine per hour of its run time. */
   get interruptionsPerHour(): number {
-    return this.spotInterruptions / this.spotHours;
+    return this.spotInterruptions / this.spotMachineHours;
   }
 
-  /** Remembers what GPU jobs need, class by class. */
+  /** Records the resource needs of a GPU job, if it is the first of its class. Other jobs are ignored. */
   recordAcceleratorJob(spec: JobSpec): void {
     if (spec.gpus <= 0 || this.gpuJobByClass.has(spec.className)) return;
     this.acceleratorReserveRevision++;
@@ -69,8 +75,8 @@
   }
 
   /**
-   * What each accelerator of such a machine has to keep beside it: the most that any GPU job that may run there needs.
-   * Null: it has no accelerators, or no GPU job may run there.
+   * Returns the CPUs and memory to keep free for each GPU of such a machine: the maximum per GPU over the recorded GPU
+   * jobs that may run there. Returns null if the machine type has no GPUs, or no recorded GPU job may run there.
    */
   acceleratorReserveOn(type: MachineType, spot: boolean): AcceleratorReserve | null {
     if (type.gpus <= 0) return null;
@@ -85,7 +91,7 @@
   }
 }
 
-/** A text that is equal for types that differ in nothing but prices. */
-function withoutPrices(types: MachineType[]): string {
+/** Serializes machine types with their prices set to 0, so that types that differ only in prices yield equal texts. */
+function serializeWithoutPrices(types: MachineType[]): string {
   return JSON.stringify(types.map((type) => ({ ...type, price: 0, spotPrice: 0 })));
 }
--- a/src/coordination/scheduling/groupBy.ts
+++ b/src/coordination/scheduling/groupBy.ts
@@ -1,4 +1,6 @@
-/** The items by their key; groups and items keep the order of the items. Pure. */
+/**
+ * Groups the items by key. Groups are in the order of their first items, and the items of a group keep their order. Pure.
+ */
 export function groupBy<Item>(items: Iterable<Item>, keyOf: (item: Item) => string): Map<string, Item[]> {
   const groups = new Map<string, Item[]>();
   for (const item of items) {
--- a/src/coordination/scheduling/guarantee.ts
+++ b/src/coordination/scheduling/guarantee.ts
@@ -1,14 +1,12 @@
-/**
- * Which jobs fall within their team's guaranteed quota: these are served before borrowed work of the same priority.
- */
+/** Selects the jobs that fall within their team's guaranteed quota: they precede borrowing jobs of the same priority. */
 import type { Job } from "../../bookkeeping/workload.js";
 import type { Team } from "../../settings/platform.js";
 import { ROUNDING_TOLERANCE } from "./fitting.js";
 import { groupBy } from "./groupBy.js";
 
 /**
- * The jobs that fall within their team's guaranteed quota: those that fit into it along with the team's unfinished jobs
- * that were accepted earlier. Pure.
+ * Returns the jobs that fall within their team's guaranteed quota. A job does if all its tasks fit into the quota together
+ * with those of the team's unfinished jobs that were accepted earlier. Cancelled jobs don't count. Pure.
  */
 export function jobsWithinGuarantee(jobs: Iterable<Job>, teams: Map<string, Team>): Set<Job> {
   const jobsByTeam = groupBy(
--- a/src/coordination/scheduling/guaranteedJobs.ts
+++ b/src/coordination/scheduling/guaranteedJobs.ts
@@ -1,10 +1,10 @@
-/** The guaranteed jobs, kept from cycle to cycle while the set of jobs stays the same. */
+/** Cache of the jobs within their team's guaranteed quota, which stays valid while the set of live jobs is unchanged. */
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Job } from "../../bookkeeping/workload.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 import { jobsWithinGuarantee } from "./guarantee.js";
 
-/** Owns the set of jobs that fall within their team's guarantee; derived again only when the set of jobs has changed. */
+/** Owns the set of jobs within their team's guaranteed quota, and recomputes it only when the set of jobs has changed. */
 export class GuaranteedJobs {
   private revision = -1;
   private guaranteed: ReadonlySet<Job> = new Set();
@@ -14,7 +14,7 @@
     private readonly usage: QuotaUsage,
   ) {}
 
-  /** The guaranteed jobs as of now; never changed afterwards. */
+  /** Returns the guaranteed jobs at this moment. The returned set is never modified later. */
   current(): ReadonlySet<Job> {
     if (this.revision !== this.jobs.revision) {
       this.revision = this.jobs.revision;
--- a/src/coordination/scheduling/machineSnapshots.ts
+++ b/src/coordination/scheduling/machineSnapshots.ts
@@ -92,7 +92,7 @@
     incoming: MachineView[],
   ): void {
     const { estimates } = this.context;
-    const type = estimates.typeNamed(typeName);
+    const type = estimates.findType(typeName);
     if (!type) return;
     for (let i = 0; i < count; i++)
       incoming.push(emptyMachineView(type, zone, spot, estimates.acceleratorReserveOn(type, spot)));
@@ -141,7 +141,7 @@
   private remainingS({ job: { spec }, runningMs }: Attempt, nowMs: number): number {
     if (spec.kind === "service") return SERVICE_REMAINING_S;
     const ranS = runningMs === null ? 0 : (nowMs - runningMs) / 1000;
-    const expectedS = this.context.estimates.runTimes.expectedS(spec.className, spec.estimateS);
+    const expectedS = this.context.estimates.runTimes.expectedRunTimeS(spec.className, spec.estimateS);
     return Math.max(MIN_REMAINING_S, expectedS - ranS);
   }
 }
--- a/src/coordination/scheduling/objectiveTargets.ts
+++ b/src/coordination/scheduling/objectiveTargets.ts
@@ -1,13 +1,17 @@
-/** What the operator's objectives ask of a job's class. A job's own deadline counts in `completionTargetsS` of the queue. */
+/**
+ * Targets that the operator's service-level objectives set for a class of jobs. Targets from a job's own deadline are
+ * computed by `completionTargetsS`.
+ */
 import type { Job } from "../../bookkeeping/workload.js";
 import type { Objective } from "../../settings/platform.js";
 
-/** Targets at least this many times apart leave a long time in which no target drives the job. */
+/** Between two targets that differ by at least this factor, there is a long time in which no target is near. */
 const FAR_APART_FACTOR = 2.5;
 
 /**
- * The longest that the operator wants anything of the class to take; Infinity without objectives. Infinity as well where
- * a tighter target is not far from the longest: jobs that missed it are tried again soon enough for the next.
+ * Returns the longest time in seconds that a "finished" or "wait" objective allows jobs of the class, or Infinity if the
+ * class has none. Also returns Infinity if a shorter completion target is near the longest one: jobs that miss the shorter
+ * target are scheduled again soon enough to meet the longest.
  */
 export function longestTargetS(className: string, objectives: readonly Objective[]): number {
   let longestS = 0;
@@ -19,7 +23,7 @@
   return hasNearTarget(className, objectives, longestS) ? Infinity : longestS;
 }
 
-/** Does the class have a target for its end that is tighter than the longest, but not far from it? */
+/** Returns whether the class has a completion target that is shorter than the longest one but near it. */
 function hasNearTarget(className: string, objectives: readonly Objective[], longestS: number): boolean {
   for (const { className: objectiveClass, kind, withinS } of objectives) {
     if (objectiveClass !== className || kind !== "finished" || withinS === null) continue;
@@ -29,8 +33,8 @@
 }
 
 /**
- * Seconds that the job's tasks may still wait for a start without missing the first wait objective of their class; null:
- * there is none, or it is missed already.
+ * Returns the seconds that the job's tasks may still wait for a start without missing the first "wait" objective of their
+ * class, or null if the class has none or the job has missed it.
  */
 export function waitTargetLeftS(job: Job, objectives: readonly Objective[], nowMs: number): number | null {
   for (const { className, kind, withinS } of objectives) {
--- a/src/coordination/scheduling/queue.ts
+++ b/src/coordination/scheduling/queue.ts
@@ -1,48 +1,48 @@
 /**
- * The order in which waiting jobs are served: by priority, then guaranteed work before borrowing work, then so that as
- * many jobs as possible meet their targets. Three exceptions keep jobs from starving: overdue starts, jobs that have
- * waited too long, and late jobs, the last within a part of the room. Pure, but for the limits set on the entries.
+ * The scheduling order of the waiting jobs: by priority, then guaranteed work before borrowing work, then so that as many
+ * jobs as possible meet their targets. Three exceptions prevent starvation: jobs with an overdue start, starving jobs, and
+ * late jobs, which get a limited share of the capacity. Pure, except that it sets limits on the entries.
  */
 import { orderByDeadline } from "./deadlineOrder.js";
 import { setFairShares } from "./fairShare.js";
 import { byArrival, EARLY_START_TASKS, type QueueEntry, type TeamLimit } from "./queueEntry.js";
 
-/** Jobs that may start out of turn in one cycle. */
+/** The maximum number of jobs that one cycle puts ahead of higher priorities because their start is overdue. */
 const MAX_EARLY_JOBS = 8;
-/** The part of a priority's room that late jobs may take before those that can still be on time. */
-const LATE_SHARE = 0.35;
-/** However much the late jobs take, the others are planned with at least this part of what the late share leaves. */
-const MIN_PART_BESIDE_LATE = 0.8;
+/** The share of the capacity for a priority that late jobs may take ahead of jobs that can still be on time. */
+const LATE_CAPACITY_SHARE = 0.35;
+/** The other jobs are planned with at least this fraction of the capacity beyond the late jobs' share. */
+const MIN_OTHERS_FRACTION = 0.8;
 
-/** Cpus, or accelerators, that jobs of a priority can count on. */
-export type RoomOfPriority = (priority: number, needsGpus: boolean) => number;
+/** Returns the CPUs, or the GPUs if `needsGpus`, that jobs of a priority can use. */
+export type CapacityOfPriority = (priority: number, needsGpus: boolean) => number;
 
-/** The entries in the order of service; sets their `taskLimit` and `fairShareTasks` where a limit applies. */
-export function serveOrder(
+/** Returns the entries in scheduling order. Sets their `taskLimit` and `fairShareTasks` where a limit applies. */
+export function schedulingOrder(
   entries: QueueEntry[],
-  roomOf: RoomOfPriority,
+  capacityOf: CapacityOfPriority,
   teamLimit: TeamLimit,
 ): QueueEntry[] {
   const priorities = [...new Set(entries.map((entry) => entry.priority))].sort((left, right) => right - left);
   const early = earlyStarts(entries, priorities[0]);
   const order = [...early];
   for (const priority of priorities) {
-    const ofPriority = entries.filter((entry) => entry.priority === priority && !early.has(entry));
-    // A job must not step back for ever: those that have waited too long come first, the longest wait in front.
-    order.push(...ofPriority.filter((entry) => entry.isStarving).sort(byArrival));
+    const samePriority = entries.filter((entry) => entry.priority === priority && !early.has(entry));
+    // Starving jobs precede the others in order of acceptance, so that no job is postponed for ever.
+    order.push(...samePriority.filter((entry) => entry.isStarving).sort(byArrival));
     for (const needsGpus of [true, false]) {
-      const competitors = ofPriority.filter((entry) => !entry.isStarving && entry.needsGpus === needsGpus);
+      const competitors = samePriority.filter((entry) => !entry.isStarving && entry.needsGpus === needsGpus);
       if (competitors.length === 0) continue;
-      const room = Math.max(1, roomOf(priority, needsGpus));
-      order.push(...orderCompetitors(competitors, room, teamLimit));
+      const capacity = Math.max(1, capacityOf(priority, needsGpus));
+      order.push(...orderCompetitors(competitors, capacity, teamLimit));
     }
   }
   return order;
 }
 
 /**
- * Jobs of lower priorities whose start is overdue: on a full cluster they would never start. A task or two of them cost
- * the higher priorities next to nothing.
+ * Returns the jobs of lower priorities with an overdue start, limited to a few tasks each. They would never start on a
+ * full cluster, and a task or two of them cost the higher priorities next to nothing.
  */
 function earlyStarts(entries: QueueEntry[], highestPriority = -Infinity): Set<QueueEntry> {
   const overdue = entries.filter((entry) => entry.isStartOverdue && entry.priority < highestPriority);
@@ -51,56 +51,59 @@
   return early;
 }
 
-/** The order of jobs of one priority that compete for the same room. */
-function orderCompetitors(entries: QueueEntry[], room: number, teamLimit: TeamLimit): QueueEntry[] {
-  const late = lateJobs(entries, room * LATE_SHARE);
-  if (late.length === 0) return orderByGuarantee(entries, room, teamLimit);
-  // The late jobs' part of the room is not there for the others: counted twice, it would make all of them a little late.
-  let roomLeft = room;
-  for (const entry of late) roomLeft -= entry.demand;
+/** Orders jobs of one priority that compete for the same kind of capacity. */
+function orderCompetitors(entries: QueueEntry[], capacity: number, teamLimit: TeamLimit): QueueEntry[] {
+  const late = lateJobs(entries, capacity * LATE_CAPACITY_SHARE);
+  if (late.length === 0) return orderByGuarantee(entries, capacity, teamLimit);
+  // The others are planned without the late jobs' capacity: counted twice, it would make all of them slightly late.
+  let remainingCapacity = capacity;
+  for (const entry of late) remainingCapacity -= entry.demand;
   const others = entries.filter((entry) => !late.includes(entry));
-  const roomOfOthers = Math.max(roomLeft, room * (1 - LATE_SHARE) * MIN_PART_BESIDE_LATE);
-  return [...late, ...orderByGuarantee(others, roomOfOthers, teamLimit)];
+  const capacityOfOthers = Math.max(
+    remainingCapacity,
+    capacity * (1 - LATE_CAPACITY_SHARE) * MIN_OTHERS_FRACTION,
+  );
+  return [...late, ...orderByGuarantee(others, capacityOfOthers, teamLimit)];
 }
 
 /**
- * The late jobs that are served before the others, the oldest first, as far as the room reaches. Jobs that have started
- * can step back for good as well: the largest would do so again and again.
+ * Returns the late jobs that precede the others, in order of acceptance, until their demand reaches `capacity`. Jobs that
+ * have started can starve as well: the deadline order would postpone the largest job again and again.
  */
-function lateJobs(entries: QueueEntry[], room: number): QueueEntry[] {
-  const served: QueueEntry[] = [];
-  let roomLeft = room;
+function lateJobs(entries: QueueEntry[], capacity: number): QueueEntry[] {
+  const selected: QueueEntry[] = [];
+  let remainingCapacity = capacity;
   for (const entry of entries.filter(({ isLate }) => isLate).sort(byArrival)) {
-    if (roomLeft <= 0) break;
-    // Without a limit, one large late job took most of a small deployment from all that could still be on time.
-    if (entry.demand > roomLeft) {
-      entry.taskLimit = Math.max(1, Math.floor((roomLeft / entry.demand) * entry.unfinishedTasks));
+    if (remainingCapacity <= 0) break;
+    // Without a limit, one large late job took most of a small cluster from all jobs that could still be on time.
+    if (entry.demand > remainingCapacity) {
+      entry.taskLimit = Math.max(1, Math.floor((remainingCapacity / entry.demand) * entry.unfinishedTasks));
     }
-    roomLeft -= entry.demand;
-    served.push(entry);
+    remainingCapacity -= entry.demand;
+    selected.push(entry);
   }
-  return served;
+  return selected;
 }
 
-/** Guaranteed jobs come first; of either kind, those that can be on time come before the others. */
-function orderByGuarantee(entries: QueueEntry[], room: number, teamLimit: TeamLimit): QueueEntry[] {
+/** Orders guaranteed jobs before borrowing ones, and within each group the jobs that can be on time before the others. */
+function orderByGuarantee(entries: QueueEntry[], capacity: number, teamLimit: TeamLimit): QueueEntry[] {
   const order: QueueEntry[] = [];
-  let busyS = 0;
+  let busyUntilS = 0;
   for (const isGuaranteed of [true, false]) {
-    const alike = entries.filter((entry) => entry.isGuaranteed === isGuaranteed);
-    const { onTime, remaining, endS } = orderByDeadline(alike, room, busyS);
-    busyS = endS;
+    const group = entries.filter((entry) => entry.isGuaranteed === isGuaranteed);
+    const { onTime, remaining, endS } = orderByDeadline(group, capacity, busyUntilS);
+    busyUntilS = endS;
     order.push(...onTime);
-    remaining.sort(bySize);
-    setFairShares(remaining, room - totalDemand(order), teamLimit);
+    remaining.sort(byRemainingWork);
+    setFairShares(remaining, capacity - totalDemand(order), teamLimit);
     order.push(...remaining);
   }
   return order;
 }
 
-/** The least work first; jobs without targets can't be late, so among them it is first come, first served. */
-function bySize(left: QueueEntry, right: QueueEntry): number {
-  if (left.targetsLeftS.length === 0 && right.targetsLeftS.length === 0) return byArrival(left, right);
+/** Compares by remaining work, least first; jobs without targets can't be late and are compared by arrival. */
+function byRemainingWork(left: QueueEntry, right: QueueEntry): number {
+  if (left.timeToTargetsS.length === 0 && right.timeToTargetsS.length === 0) return byArrival(left, right);
   return left.remainingWork - right.remainingWork || byArrival(left, right);
 }
 
--- a/src/coordination/scheduling/queueEntry.ts
+++ b/src/coordination/scheduling/queueEntry.ts
@@ -1,52 +1,58 @@
-/** What queue order knows of a job, as of one cycle. */
+/** The attributes of a waiting job that determine its scheduling order in one cycle. */
 import type { Job } from "../../bookkeeping/workload.js";
 
-/** The tasks with which a job begins out of turn after its start has become overdue. */
+/** The number of tasks that a job with an overdue start may run ahead of jobs of higher priority. */
 export const EARLY_START_TASKS = 2;
 
-/** The largest jobs have to begin within four minutes, whatever their priority: overdue from here on, in seconds. */
-export const OVERDUE_S = 150;
+/**
+ * Seconds from submission after which the start of an array is overdue. It leaves time to start even the largest jobs
+ * within four minutes, whatever their priority.
+ */
+export const START_OVERDUE_S = 150;
 
-/** A job with tasks to place, as the order of the queue sees it. */
+/** A job with tasks to place, as the scheduling order of one cycle sees it. */
 export interface QueueEntry {
   job: Job;
   id: string;
   priority: number;
-  /** It falls within its team's guaranteed quota. */
+  /** Whether the job falls within its team's guaranteed quota. */
   isGuaranteed: boolean;
-  /** It competes for accelerators; other jobs compete for cpus. */
+  /** Whether the job competes for GPUs; other jobs compete for CPUs. */
   needsGpus: boolean;
-  /** No task of it has started for so long that it is served before others of its priority. */
+  /** Whether the job has waited so long without a start that it precedes the other jobs of its priority. */
   isStarving: boolean;
-  /** No task of it has started for so long that it has to start soon, whatever its priority. */
+  /** Whether the job has waited so long without a start that its first tasks precede jobs of higher priority. */
   isStartOverdue: boolean;
-  /** Most of the time of its class's loosest objective is over, and it isn't done. */
+  /** Whether most of the time that its class's longest objective allows has passed since the job's submission. */
   isLate: boolean;
   /**
-   * Tasks that may run before its competitors have their fair share of the room; Infinity: no limit. Set by
-   * `serveOrder`.
+   * The number of tasks that may run before its competitors have their fair share of the capacity; Infinity for no limit.
+   * Set by `schedulingOrder`.
    */
   fairShareTasks: number;
-  /** Tasks that may run at all: late jobs keep to a part of the room; Infinity: no limit. Set by `serveOrder`. */
+  /**
+   * The number of tasks that may run at all, which limits late jobs and early starts; Infinity for no limit. Set by
+   * `schedulingOrder`.
+   */
   taskLimit: number;
-  /** Seconds from now until its targets, the nearest first; later targets are looser. */
-  targetsLeftS: number[];
-  /** Seconds that a single task of it still takes. */
-  taskS: number;
-  /** Tasks without a result. */
+  /** Seconds from now until each of its completion targets, ascending; negative for a missed target. */
+  timeToTargetsS: number[];
+  /** Expected run time of one task, in seconds. */
+  taskRunTimeS: number;
+  /** Number of tasks that are not done. */
   unfinishedTasks: number;
-  /** Cpus, or accelerators, that all its unfinished tasks would take at once. */
+  /** CPUs (or GPUs, for a job that needs them) that all its unfinished tasks would use at once. */
   demand: number;
-  /** Cpu seconds, or accelerator seconds, that are left to do. */
+  /** Expected CPU seconds (or GPU seconds, for a job that needs them) until all its tasks are done. */
   remainingWork: number;
-  /** When the job was accepted, as a Unix time in milliseconds: decides between entries that are equal otherwise. */
+  /** Unix time in milliseconds at which the job was accepted. Orders entries that are equal otherwise. */
   acceptedAtMs: number;
 }
 
-/** What a team may use at most, in accelerators or in cpus. */
+/** Returns the GPUs, or the CPUs unless `needsGpus`, that a team may use at most. */
 export type TeamLimit = (team: string, needsGpus: boolean) => number;
 
-/** Sorts the job that was accepted first to the front. */
+/** Compares by time of acceptance, earliest first, and then by id. */
 export function byArrival(left: QueueEntry, right: QueueEntry): number {
   return left.acceptedAtMs - right.acceptedAtMs || (left.id < right.id ? -1 : 1);
 }
--- a/src/coordination/scheduling/quotaView.ts
+++ b/src/coordination/scheduling/quotaView.ts
@@ -1,12 +1,12 @@
-/** Quotas as one scheduling cycle sees them: what is used, and what the cycle itself has planned (rule `quota`). */
+/** Team quotas during one scheduling cycle (rule `quota`). */
 import type { Job } from "../../bookkeeping/workload.js";
 import { addTaskUsage, type QuotaAmount, type QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { JobSpec } from "../../protocol/model.js";
 import type { QuotaView } from "./views.js";
 
 /**
- * The teams' limits as one scheduling cycle sees them (rule `quota`): what is used, and what the cycle plans. Sums over
- * all tasks are made once, and only for a team that is at its limit.
+ * Creates the view of the teams' quotas for one scheduling cycle. It counts what is used and what the cycle has planned.
+ * Sums over all of a team's tasks are computed only for a team at its limit, and at most once per cycle.
  */
 export function quotaView(usage: QuotaUsage, jobs: ReadonlyMap<string, Job>): QuotaView {
   return new CycleQuota(usage, jobs);
@@ -15,7 +15,7 @@
 class CycleQuota implements QuotaView {
   private readonly plannedByTeam = new Map<string, QuotaAmount>();
   private readonly stoppingByTeam = new Map<string, QuotaAmount>();
-  private readonly lastingByTeamAndPriority = new Map<string, QuotaAmount>();
+  private readonly unreclaimableByTeamAndPriority = new Map<string, QuotaAmount>();
 
   constructor(
     private readonly usage: QuotaUsage,
@@ -36,11 +36,11 @@
   }
 
   attainableHeadroom(spec: JobSpec): number {
-    const lasting = this.lasting(spec);
+    const unreclaimable = this.unreclaimable(spec);
     const planned = this.planned(spec.team);
     return this.usage.tasksAllowedGivenUsage(spec, {
-      cpus: lasting.cpus + planned.cpus,
-      gpus: lasting.gpus + planned.gpus,
+      cpus: unreclaimable.cpus + planned.cpus,
+      gpus: unreclaimable.gpus + planned.gpus,
     });
   }
 
@@ -54,10 +54,10 @@
     return this.plannedByTeam.get(team) ?? { cpus: 0, gpus: 0 };
   }
 
-  /** What the team's tasks hold that are being stopped. */
+  /** Returns the quota that the team's tasks use that are being stopped. */
   private stopping(team: string): QuotaAmount {
-    const known = this.stoppingByTeam.get(team);
-    if (known) return known;
+    const cached = this.stoppingByTeam.get(team);
+    if (cached) return cached;
     const sum: QuotaAmount = { cpus: 0, gpus: 0 };
     for (const job of this.jobs.values()) {
       if (job.spec.team !== team) continue;
@@ -67,21 +67,25 @@
     return sum;
   }
 
-  /** What the job's team keeps for good, as far as the job can tell. */
-  private lasting(waiting: JobSpec): QuotaAmount {
+  /** Returns the quota that the waiting job's team uses and that will not become free for the job. */
+  private unreclaimable(waiting: JobSpec): QuotaAmount {
     const key = `${waiting.team} ${waiting.priority}`;
-    const known = this.lastingByTeamAndPriority.get(key);
-    if (known) return known;
+    const cached = this.unreclaimableByTeamAndPriority.get(key);
+    if (cached) return cached;
     const sum: QuotaAmount = { cpus: 0, gpus: 0 };
     for (const { spec, attempts } of this.jobs.values()) {
-      if (spec.team === waiting.team && isLasting(spec, waiting)) addTaskUsage(sum, spec, attempts.size);
+      if (spec.team === waiting.team && isUnreclaimable(spec, waiting))
+        addTaskUsage(sum, spec, attempts.size);
     }
-    this.lastingByTeamAndPriority.set(key, sum);
+    this.unreclaimableByTeamAndPriority.set(key, sum);
     return sum;
   }
 }
 
-/** Tasks of arrays end soon, or may be stopped for work of a higher priority; services and gangs keep what they have. */
-function isLasting(running: JobSpec, waiting: JobSpec): boolean {
+/**
+ * Returns whether the quota of a running job will not become free for a waiting job of its team. Tasks of arrays end soon
+ * or may be preempted for higher priorities, so only arrays of a higher priority count; services and gangs always do.
+ */
+function isUnreclaimable(running: JobSpec, waiting: JobSpec): boolean {
   return running.kind !== "array" || running.priority > waiting.priority;
 }
--- a/src/coordination/scheduling/runTimeEstimator.ts
+++ b/src/coordination/scheduling/runTimeEstimator.ts
@@ -1,38 +1,41 @@
-/** One run counts as no more than this many times longer, or shorter, than its estimate: outliers must not dominate. */
-const MAX_RATIO = 10;
-const MIN_RATIO = 0.1;
-/** A mean over no more than about so many runs, so that it follows a class whose jobs change. */
-const MAX_WEIGHT = 30;
-/** With fewer runs seen, the submitted estimate is the better guess. */
+/** The largest ratio of actual to estimated run time that one run counts with: outliers must not dominate the mean. */
+const MAX_RUN_TIME_RATIO = 10;
+/** The smallest ratio of actual to estimated run time that one run counts with. */
+const MIN_RUN_TIME_RATIO = 0.1;
+/** The mean covers about this many of the latest runs, so that it follows a class whose jobs change. */
+const MAX_MEAN_WEIGHT = 30;
+/** With fewer recorded runs than this, the submitted estimate is more accurate and is used as it is. */
 const MIN_RUNS = 3;
 
-/** Running mean of the logarithm of actual over estimated run time. */
-interface LogRatio {
+/** Running mean of the logarithm of the ratio of actual to estimated run time. */
+interface MeanLogRatio {
   mean: number;
-  /** Runs seen, up to `MAX_WEIGHT`. */
+  /** Number of recorded runs, at most `MAX_MEAN_WEIGHT`. */
   weight: number;
 }
 
-/** Learns from runs how far submitted run time estimates are off, class by class. */
+/** Learns, for each class of jobs, by which factor actual run times differ from the submitted estimates. */
 export class RunTimeEstimator {
-  private readonly logRatios = new Map<string, LogRatio>();
+  private readonly meanLogRatioByClass = new Map<string, MeanLogRatio>();
 
-  /** A task of the class ran for `actualS`, with `estimateS` in its job's submission. */
+  /** Records that a task of the class ran for `actualS` seconds, where its job's submission estimated `estimateS`. */
   recordRun(className: string, actualS: number, estimateS: number): void {
     if (estimateS <= 0 || actualS <= 0) return;
-    const logRatio = Math.log(Math.min(MAX_RATIO, Math.max(MIN_RATIO, actualS / estimateS)));
-    const known = this.logRatios.get(className);
-    if (!known) {
-      this.logRatios.set(className, { mean: logRatio, weight: 1 });
+    const logRatio = Math.log(
+      Math.min(MAX_RUN_TIME_RATIO, Math.max(MIN_RUN_TIME_RATIO, actualS / estimateS)),
+    );
+    const average = this.meanLogRatioByClass.get(className);
+    if (!average) {
+      this.meanLogRatioByClass.set(className, { mean: logRatio, weight: 1 });
       return;
     }
-    known.weight = Math.min(MAX_WEIGHT, known.weight + 1);
-    known.mean += (logRatio - known.mean) / known.weight;
+    average.weight = Math.min(MAX_MEAN_WEIGHT, average.weight + 1);
+    average.mean += (logRatio - average.mean) / average.weight;
   }
 
-  /** Seconds that a task of the class with such an estimate is expected to run. */
-  expectedS(className: string, estimateS: number): number {
-    const known = this.logRatios.get(className);
-    return known && known.weight >= MIN_RUNS ? estimateS * Math.exp(known.mean) : estimateS;
+  /** Returns the expected run time in seconds of a task of the class whose submitted estimate is `estimateS`. */
+  expectedRunTimeS(className: string, estimateS: number): number {
+    const average = this.meanLogRatioByClass.get(className);
+    return average && average.weight >= MIN_RUNS ? estimateS * Math.exp(average.mean) : estimateS;
   }
 }
--- a/src/coordination/scheduling/scheduler.ts
+++ b/src/coordination/scheduling/scheduler.ts
@@ -1,4 +1,4 @@
-/** The scheduling cycle from top to bottom; its steps are pure functions over snapshots, in modules of their own. */
+/** Runs scheduling cycles. The decisions of a cycle are made on snapshots, by modules of their own. */
 import type { JobSpec } from "../../protocol/model.js";
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { Job } from "../../bookkeeping/workload.js";
@@ -20,28 +20,29 @@
 import type { PlacementPlan } from "./placementPlan.js";
 import { PlanExecutor } from "./planExecutor.js";
 import { mayPreempt, summarizePreemptibleWork } from "./preemptibleWork.js";
-import { serveOrder } from "./queue.js";
+import { schedulingOrder } from "./queue.js";
 import type { QueueEntry } from "./queueEntry.js";
-import { QueueEntries } from "./queueEntries.js";
+import { QueueEntryBuilder } from "./queueEntryBuilder.js";
 import { quotaView } from "./quotaView.js";
 import type { Reservations } from "./reservations.js";
 import type { JobView, MachineView } from "./views.js";
 
-/** The most attempts that one cycle stops: what their ends change is seen before more are stopped. */
+/** The maximum number of attempts that one cycle stops, so that later cycles see the effect before they stop more. */
 const MAX_EVICTIONS = 40;
-/** The most jobs that one cycle seeks victims for: each search looks at every machine. */
+/** The maximum number of jobs for which one cycle searches for victims: each search examines every machine. */
 const MAX_PREEMPTORS = 8;
 
-/** What the scheduler asks of whoever scales the fleet. */
-export interface FleetScaling {
+/** The part of provisioning that the scheduler depends on. */
+export interface FleetScaler {
+  /** Orders that the cloud has not answered yet, by request name. */
   readonly openOrders: ReadonlyMap<string, OpenOrder>;
-  /** The cloud has lately refused every machine in that zone that the job could use. */
+  /** Returns whether the cloud has lately refused every kind of machine in that zone that the job could use. */
   isEverythingRefused(spec: JobSpec, zone: string, nowMs: number): boolean;
-  /** Scales out for what the plan left unplaced; `incoming`: machines that are booting or ordered already. */
+  /** Scales out for the tasks that the plan left unplaced. `incoming` lists the machines that are booting or ordered. */
   scaleOut(plan: PlacementPlan, incoming: MachineView[]): void;
 }
 
-/** What the scheduler uses of the term. */
+/** The parts of the term that the scheduler depends on. */
 export interface SchedulerContext {
   clock: Clock;
   lease: TermLease;
@@ -52,51 +53,55 @@
   writes: WriteRequests;
   cycles: CycleRequests;
   estimates: Estimates;
-  provisioner: FleetScaling;
+  provisioner: FleetScaler;
   preferredMachines: PreferredMachines;
   reservations: Reservations;
   objectives: Objective[];
-  /** Seconds of silence after which nothing new is placed on a machine. */
+  /** Seconds without an acknowledged heartbeat after which nothing new is placed on a machine. */
   suspectS: number;
-  /** How late this process's timers fire. */
+  /** Returns the delay, in milliseconds, with which timers of this process fire. */
   lagMs: () => number;
 }
 
-/** Owns the scheduling cycle: takes snapshots, orders the jobs, has them placed, carries the plan out, scales out. */
+/**
+ * Owns the scheduling cycle: takes snapshots, orders the waiting jobs, plans their placement, executes the plan and scales
+ * out for what it left unplaced. A cycle decides nothing unless the term's records and the machine types are loaded and
+ * the leader may write.
+ */
 export class Scheduler {
   private readonly guaranteedJobs: GuaranteedJobs;
-  private readonly queueEntries: QueueEntries;
+  private readonly queueEntryBuilder: QueueEntryBuilder;
   private readonly machineSnapshots: MachineSnapshots;
   private readonly executor: PlanExecutor;
 
   constructor(private readonly context: SchedulerContext) {
     this.guaranteedJobs = new GuaranteedJobs(context.jobs, context.usage);
-    this.queueEntries = new QueueEntries(context);
+    this.queueEntryBuilder = new QueueEntryBuilder(context);
     this.machineSnapshots = new MachineSnapshots(context);
     this.executor = new PlanExecutor(context);
   }
 
-  /** Runs one cycle if this controller may write, and sets the pause before the next. */
+  /** Runs one cycle if the leader may schedule, and sets the earliest time of the next one. */
   runCycle(): void {
     const { clock, cycles, lagMs } = this.context;
     cycles.clearRequest();
-    if (!this.mayDecide()) return;
+    if (!this.maySchedule()) return;
     const startMs = clock.nowMs();
     const guaranteed = this.guaranteedJobs.current();
-    const waiting = this.queueEntries.ofWaitingJobs(guaranteed, startMs);
+    const waiting = this.queueEntryBuilder.entriesForWaitingJobs(guaranteed, startMs);
     if (waiting.length > 0) this.schedule(waiting, guaranteed, startMs);
     const endMs = clock.nowMs();
     cycles.pauseUntil(endMs + cycleGapMs(endMs - startMs, lagMs()));
   }
 
-  private mayDecide(): boolean {
+  private maySchedule(): boolean {
     const { lease, estimates } = this.context;
     return lease.isLoaded && lease.mayWrite() && estimates.areTypesKnown;
   }
 
   private schedule(waiting: QueueEntry[], guaranteed: ReadonlySet<Job>, nowMs: number): void {
     const { provisioner, reservations } = this.context;
-    const ordered = this.inOrderOfService(waiting);
+    const ordered = this.inSchedulingOrder(waiting);
     const fleet = this.machineSnapshots.take(provisioner.openOrders, nowMs);
     const jobViews = ordered.map((entry) => jobViewOf(entry, this.context, nowMs));
     const plan = this.plan(jobViews, fleet, guaranteed, nowMs);
@@ -106,12 +111,12 @@
     provisioner.scaleOut(plan, fleet.incoming);
   }
 
-  private inOrderOfService(entries: QueueEntry[]): QueueEntry[] {
+  private inSchedulingOrder(entries: QueueEntry[]): QueueEntry[] {
     const { jobs, machines, usage, estimates } = this.context;
     const capacityOf = capacityByPriority(machines.values(), jobs.values(), estimates);
-    return serveOrder(entries, capacityOf, (teamName, ofGpus) => {
+    return schedulingOrder(entries, capacityOf, (teamName, needsGpus) => {
       const team = usage.teams.get(teamName);
-      return (ofGpus ? team?.maxGpus : team?.maxCpus) ?? 0;
+      return (needsGpus ? team?.maxGpus : team?.maxCpus) ?? 0;
     });
   }
 
--- a/src/coordination/scheduling/stopCost.ts
+++ b/src/coordination/scheduling/stopCost.ts
@@ -1,6 +1,6 @@
 /** Determines which attempts on a machine may be preempted, and the work lost by stopping them. */
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
-import { EARLY_START_TASKS, OVERDUE_S } from "./queueEntry.js";
+import { EARLY_START_TASKS, START_OVERDUE_S } from "./queueEntry.js";
 import type { VictimView } from "./views.js";
 
 /** An attempt that is stopped within this time after its start does not count as a start for the job's users. */
@@ -50,7 +50,7 @@
  */
 export function isInEarlyStartGrace(job: Job, nowMs: number): boolean {
   if (job.spec.kind !== "array" || job.doneCount > 0 || job.attempts.size > EARLY_START_TASKS) return false;
-  if (nowMs - job.submittedMs < OVERDUE_S * 1000) return false;
+  if (nowMs - job.submittedMs < START_OVERDUE_S * 1000) return false;
   for (const { runningMs } of job.attempts)
     if (runningMs !== null && nowMs - runningMs > EARLY_START_GRACE_MS) return false;
   return true;
--- a/test/cycleCost.test.ts
+++ b/test/cycleCost.test.ts
@@ -1,4 +1,4 @@
-/** What a scheduling cycle costs: the machines that it examines, and the room that it lends instead of searching. */
+/** The cost of a scheduling cycle in machines examined, and the backfilling of capacity that is reserved for a gang. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import { place } from "../src/coordination/scheduling/placement.js";
@@ -19,7 +19,7 @@
   zones: ["a", "b"],
 };
 
-function waitingJob(index: number, changes: Partial<JobSpec> = {}): JobView {
+function waitingJob(index: number, overrides: Partial<JobSpec> = {}): JobView {
   const spec: JobSpec = {
     id: `job-${index}`,
     className: "c",
@@ -41,7 +41,7 @@
     checkpointS: 0,
     saveS: 0,
     deadlineS: null,
-    ...changes,
+    ...overrides,
   };
   return {
     spec,
@@ -88,7 +88,7 @@
   };
 }
 
-/** Machines in zones b and a by turns; those that `isFull` says have nothing free. */
+/** Creates machines that alternate between zones b and a. A machine for which `isFull` returns true has nothing free. */
 function machines(count: number, isFull: (index: number) => boolean): MachineView[] {
   return Array.from({ length: count }, (_, index) => {
     const view = emptyMachineView(MACHINE_TYPE, index % 2 ? "a" : "b", false, null);
@@ -98,22 +98,22 @@
   });
 }
 
-test("a cycle over hundreds of full machines examines those with room, not jobs times machines", () => {
+test("a cycle over hundreds of full machines examines only those with free capacity for each job", () => {
   const isFull = (index: number): boolean => index % 100 !== 0;
   const plan = place(cycleInput(waitingJobs(120), machines(600, isFull)));
   const placedTasks = plan.placements.reduce((sum, placement) => sum + placement.tasks, 0);
-  assert.equal(placedTasks, 6 * 8, "what room there is, is used");
-  // Once for the list of those with room, then a handful for each job until nothing is left.
+  assert.equal(placedTasks, 6 * 8, "all free capacity is used");
+  // One pass lists the machines with free capacity, and then each job examines a few until nothing is left.
   assert.ok(plan.machinesExamined < 600 + 120 * 6 + 1, `${plan.machinesExamined} machines examined`);
 });
 
-test("a cycle over hundreds of idle machines examines each a few times", () => {
+test("a cycle over hundreds of idle machines examines each one only a few times", () => {
   const idle = machines(600, () => false);
   const plan = place(cycleInput([waitingJob(1), waitingJob(2)], idle));
   assert.ok(plan.machinesExamined <= 3 * 600, `${plan.machinesExamined} machines examined`);
 });
 
-test("victims are sought once for a shape that no stop helps, not once for each job", () => {
+test("a cycle searches for victims once for jobs of equal shape, not once for each job, if no eviction helps", () => {
   const jobs = waitingJobs(200).map((job): JobView => ({ ...job, isGuaranteed: true }));
   const full = machines(1000, () => true);
   const plan = place({ ...cycleInput(jobs, full), canPreemptFor: () => true });
@@ -124,24 +124,24 @@
   );
 });
 
-test("room reserved for a gang is lent to what ends before the gang starts, and to nothing else", () => {
+test("capacity reserved for a gang is backfilled only with tasks that end before the gang starts", () => {
   const gang = waitingJob(9, { kind: "gang", tasks: 3, cpus: 16, memoryGb: 10, oneZone: true });
   gang.isStarving = true;
-  const fourOfSix = (): MachineView[] => machines(6, (index) => index > 3);
-  const { placements, reservations } = place(cycleInput([gang], fourOfSix()));
-  assert.equal(placements.length, 0, "two in each zone do not hold a gang of three");
+  const sixMachinesFourFree = (): MachineView[] => machines(6, (index) => index > 3);
+  const { placements, reservations } = place(cycleInput([gang], sixMachinesFourFree()));
+  assert.equal(placements.length, 0, "a gang of three does not fit on the two free machines of a zone");
   assert.equal(reservations.length, 2);
   const reservedZone = reservations[0]!.machine === "host-0" ? "b" : "a";
   const nextReservations = reservations.map((reservation) => ({ ...reservation, etaS: 60 }));
-  const cases: { name: string; taskS: number; isLent: boolean }[] = [
-    { name: "short", taskS: 5, isLent: true },
-    { name: "long", taskS: 500, isLent: false },
+  const cases: { name: string; taskS: number; isBackfilled: boolean }[] = [
+    { name: "short", taskS: 5, isBackfilled: true },
+    { name: "long", taskS: 500, isBackfilled: false },
   ];
-  for (const { name, taskS, isLent } of cases) {
+  for (const { name, taskS, isBackfilled } of cases) {
     const other = waitingJob(1, { tasks: 1, cpus: 16, memoryGb: 10, zone: reservedZone });
     other.expectedTaskS = taskS;
-    const plan = place(cycleInput([other, gang], fourOfSix(), nextReservations));
+    const plan = place(cycleInput([other, gang], sixMachinesFourFree(), nextReservations));
     const isPlaced = plan.placements.some((placement) => placement.jobId === other.spec.id);
-    assert.equal(isPlaced, isLent, name);
+    assert.equal(isPlaced, isBackfilled, name);
   }
 });
--- a/test/fairness.test.ts
+++ b/test/fairness.test.ts
@@ -1,20 +1,20 @@
 /**
- * Large jobs start although smaller work never ends, and jobs share what their team may use. The rules of the simulated
- * region are checked throughout.
+ * Fairness on a simulated cluster: large jobs start under a steady stream of smaller work, and jobs share their team's
+ * quota. The rules of the simulated region are checked throughout.
  */
 import assert from "node:assert/strict";
 import test from "node:test";
 import type { SimJob } from "./fakes/job.js";
 import { World } from "./fakes/world.js";
 
-/** Team limits that are never in the way. */
+/** Team limits that are high enough never to restrict a job. */
 const AMPLE_LIMITS = { one: { cpus: 5000, gpus: 500 }, two: { cpus: 5000, gpus: 500 } };
-/** The largest jobs have to start within this. */
+/** Seconds within which even the largest jobs have to start. */
 const START_WITHIN_S = 240;
 
 type Submission = Parameters<World["users"]["submit"]>[0];
 
-/** Submits another job of a kind at each call, under ids of its own. */
+/** Returns a function that submits one or more jobs with the given fields, each under a new id. */
 function submitter(world: World, fields: Omit<Submission, "ref">, runS: number): (jobs?: number) => void {
   let submitted = 0;
   return (jobs = 1) => {
@@ -27,14 +27,15 @@
   return [...world.users.jobs.values()].filter((job) => job.firstStartAtMs !== null);
 }
 
-/** Seconds from the submission to the first start; Infinity: none of its tasks has started. */
+/** Returns the seconds from a job's submission to the start of its first task; Infinity if none has started. */
 function waitedS(job: SimJob): number {
   return Math.round(((job.firstStartAtMs ?? Infinity) - job.submittedAtMs) / 1000);
 }
 
 /**
- * Smaller work that keeps coming takes every machine that becomes free, for ever, unless room is reserved for who has
- * waited long. The largest must start within four minutes, and the small ones must not stop for it.
+ * Guards against starvation: a steady stream of smaller jobs takes every machine that becomes free unless capacity is
+ * reserved for jobs that have waited long. The largest job must start within four minutes, and small ones must go on
+ * starting meanwhile.
  */
 test("a gang of 32 whole machines in one zone starts under a steady stream of small gangs", async () => {
   const world = new World(21, { controllerCount: 5, capacity: 44, limits: AMPLE_LIMITS });
@@ -61,8 +62,11 @@
   assert.equal(large.finalPhase, "done");
 });
 
-/** In order of arrival, the first of a team's large arrays took all the free room until it was done. */
-test("a team's arrays without targets share the room, and what one leaves goes to the others", async () => {
+/**
+ * Guards against starvation within a team: when arrays ran in order of arrival, the first large one took all free capacity
+ * until it was done.
+ */
+test("a team's arrays without targets share the capacity, and what one leaves goes to the others", async () => {
   const world = new World(26, { controllerCount: 3, capacity: 8 });
   await world.run(3);
   const array = { crew: "two", rank: "best_effort", cores: 1, memoryGb: 1 };
@@ -75,19 +79,19 @@
   for (const job of large.slice(1)) world.users.cancel(job);
   await world.run(25);
   const runningAlone = world.fleet.liveTasks("job-000000").length;
-  assert.ok(runningAlone >= 20, `${runningAlone} of 24 run once the others are gone`);
+  assert.ok(runningAlone >= 20, `${runningAlone} of 24 run after the others are cancelled`);
   assert.deepEqual(world.violations, []);
 });
 
 /**
- * At the team's limit, small tasks took what became free piece by piece, so a task of five times their size waited until
- * they had all ended (docs/incidents/inc-809f.md).
+ * Guards against starvation at a team's limit: small tasks took quota as soon as a little of it became free, so a task of
+ * five times their size waited until all of them had ended (docs/incidents/inc-809f.md).
  */
 for (const [rank, withinS] of [
   ["high", 16],
   ["standard", 40],
 ] as const) {
-  test(`at its team's limit a large gang (${rank}) gets what small tasks of the team leave`, async () => {
+  test(`a large gang (${rank}) gets the quota that small tasks free when its team is at its limit`, async () => {
     const world = new World(25, { controllerCount: 3, capacity: 60 });
     await world.run(3);
     const submitSmall = submitter(world, { spores: 12, cores: 2, memoryGb: 2 }, 5);
@@ -99,16 +103,16 @@
       if (second % 2) submitSmall();
       await world.run(1);
     }
-    // A machine has to boot; two of them fit under the limit, the third follows.
+    // The time limit covers a machine's boot. Two of the gangs fit under the team's limit, and the third follows.
     const waits = large.map(waitedS);
     assert.ok(Math.max(...waits) < withinS, `started after ${waits.join(", ")} s`);
     const started = startedJobs(world).length;
-    assert.ok(started > 8, `${started} jobs started: the small ones go on`);
+    assert.ok(started > 8, `${started} jobs started: small jobs must go on starting`);
     assert.deepEqual(world.violations, []);
   });
 }
 
-test("an array of 300 tasks starts though smaller ones with nearer deadlines never end", async () => {
+test("an array of 300 tasks starts under a steady stream of smaller arrays with nearer deadlines", async () => {
   const world = new World(22, { controllerCount: 5, capacity: 10, limits: AMPLE_LIMITS });
   await world.run(3);
   const task = { cores: 2, memoryGb: 4 };
--- a/test/queue.test.ts
+++ b/test/queue.test.ts
@@ -2,19 +2,19 @@
 import test from "node:test";
 import { completionTargetsS } from "../src/coordination/scheduling/completionTargets.js";
 import { cycleGapMs } from "../src/coordination/scheduling/cycleGap.js";
-import { serveOrder } from "../src/coordination/scheduling/queue.js";
+import { schedulingOrder } from "../src/coordination/scheduling/queue.js";
 import type { QueueEntry } from "../src/coordination/scheduling/queueEntry.js";
 import type { Job } from "../src/bookkeeping/workload.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
 let acceptedAtMs = 0;
 
-/** An array's entry; entries are accepted in the order in which they are made. */
+/** Creates the queue entry of an array. Entries are accepted in the order in which they are created. */
 function entry(
   id: string,
   remainingWork: number,
-  targetsLeftS: number[],
-  extra: Partial<QueueEntry> = {},
+  timeToTargetsS: number[],
+  overrides: Partial<QueueEntry> = {},
 ): QueueEntry {
   return {
     job: { spec: { team: "t", kind: "array" } } as Job,
@@ -29,37 +29,38 @@
     taskLimit: Infinity,
     unfinishedTasks: 10,
     demand: remainingWork,
-    targetsLeftS,
-    taskS: 1,
+    timeToTargetsS,
+    taskRunTimeS: 1,
     remainingWork,
     acceptedAtMs: acceptedAtMs++,
-    ...extra,
+    ...overrides,
   };
 }
 
+/** Queue entries, and the order and limits that they are expected to get. */
 interface OrderCase {
   name: string;
   entries: QueueEntry[];
-  /** The ids in the order of service. */
-  want: string;
-  /** The task limits that are set, by id; all others stay without a limit. */
+  /** The expected ids in scheduling order, separated by spaces. */
+  expected: string;
+  /** The expected task limits, by id; all other entries have no limit. */
   limits?: Record<string, number>;
 }
 
-test("jobs are served by priority, guarantee and targets, and no job starves", () => {
+test("jobs are ordered by priority, guarantee and targets, and no job starves", () => {
   const cases: OrderCase[] = [
     {
-      name: "priority first, then the guaranteed jobs",
+      name: "priority comes first, then the guarantee",
       entries: [
         entry("low", 1, [], { priority: 0 }),
         entry("mid", 1, []),
         entry("sure", 1, [], { isGuaranteed: true }),
         entry("top", 1, [], { priority: 3 }),
       ],
-      want: "top sure mid low",
+      expected: "top sure mid low",
     },
     {
-      name: "late jobs first, the oldest in front, but only in their part of the room",
+      name: "late jobs come first, the oldest in front, but only within their share of the capacity",
       entries: [
         entry("new", 10, [90]),
         entry("old", 30, [], { isLate: true, demand: 2 }),
@@ -67,65 +68,66 @@
         entry("huge", 900, [], { isLate: true }),
         entry("last", 20, [95], { isLate: true }),
       ],
-      want: "older old new last huge",
-      // Of 3.5 in a room of 10, the older takes 2, and the old one's 10 tasks of 2 in all keep to the rest.
+      expected: "older old new last huge",
+      // The late jobs' share is 3.5 of a capacity of 10. "older" takes 2 of it, so 7 of the 10 tasks of "old", which
+      // demand 2 in all, fit into the remaining 1.5.
       limits: { old: 7 },
     },
     {
-      name: "a start that is overdue comes first with a few tasks, whatever its priority, the longest wait in front",
+      name: "jobs with an overdue start come first with a few tasks, whatever their priority, the oldest in front",
       entries: [
         entry("top", 1, [], { priority: 3 }),
         entry("begin", 900, [], { priority: 0, isStarving: true, isStartOverdue: true }),
         entry("before", 900, [], { priority: 1, isStarving: true, isStartOverdue: true, acceptedAtMs: -1 }),
         entry("waits", 1, [], { priority: 0 }),
       ],
-      want: "before begin top waits",
+      expected: "before begin top waits",
       limits: { before: 2, begin: 2 },
     },
     {
-      name: "a job of the highest priority waits for its turn, even if its start is overdue",
+      name: "an overdue start does not put a job of the highest priority ahead of its peers",
       entries: [entry("due", 1, [50]), entry("over", 900, [], { isStartOverdue: true })],
-      want: "due over",
+      expected: "due over",
     },
     {
-      name: "jobs without targets in the order of arrival",
+      name: "jobs without targets are ordered by arrival",
       entries: [entry("a", 90, []), entry("b", 10, [])],
-      want: "a b",
+      expected: "a b",
     },
     {
-      name: "when all fit, the nearest target first",
+      name: "if all jobs can be on time, the nearest target comes first",
       entries: [entry("late", 100, [90]), entry("soon", 100, [30])],
-      want: "soon late",
+      expected: "soon late",
     },
     {
-      // Least time left first would make all three late.
-      name: "when they don't fit, the largest steps back and the others are on time",
+      // Earliest due date first would run "huge" first, and "a" and "b" would both be late.
+      name: "if not all jobs can be on time, the largest is postponed and the others are on time",
       entries: [entry("huge", 400, [45]), entry("a", 200, [50]), entry("b", 200, [50])],
-      want: "a b huge",
+      expected: "a b huge",
     },
     {
-      name: "a job that stepped back is tried at its looser target before those past all targets",
+      name: "a postponed job is ordered by its later target, before jobs that missed all targets",
       entries: [entry("over", 10, [-5, -1]), entry("huge", 400, [30, 100]), entry("a", 200, [30, 60])],
-      want: "a huge over",
+      expected: "a huge over",
     },
     {
-      name: "a task longer than the time left can't be on time",
-      entries: [entry("long", 10, [20], { taskS: 25 }), entry("a", 10, [90])],
-      want: "a long",
+      name: "a job whose task takes longer than the time to its target can't be on time",
+      entries: [entry("long", 10, [20], { taskRunTimeS: 25 }), entry("a", 10, [90])],
+      expected: "a long",
     },
     {
-      name: "of jobs past all targets, the smallest first",
+      name: "of jobs that missed all targets, the smallest comes first",
       entries: [entry("big", 50, [-9]), entry("small", 5, [-3])],
-      want: "small big",
+      expected: "small big",
     },
   ];
-  for (const { name, entries, want, limits = {} } of cases) {
-    const order = serveOrder(
+  for (const { name, entries, expected, limits = {} } of cases) {
+    const order = schedulingOrder(
       entries,
       () => 10,
       () => Infinity,
     );
-    assert.equal(order.map(({ id }) => id).join(" "), want, name);
+    assert.equal(order.map(({ id }) => id).join(" "), expected, name);
     for (const { id, taskLimit } of order) assert.equal(taskLimit, limits[id] ?? Infinity, `${name}: ${id}`);
   }
 });
@@ -155,34 +157,34 @@
     isLate: random.chance(0.15),
     unfinishedTasks: 1 + random.below(300),
     demand: 1 + random.below(60),
-    taskS: 1 + random.below(30),
+    taskRunTimeS: 1 + random.below(30),
     acceptedAtMs: random.below(50),
   };
 }
 
-test("the order of randomly built queues is the one that was recorded", () => {
-  const cases: { seed: number; entries: number; room: number; want: string }[] = [
-    { seed: 1, entries: 10, room: 20, want: "5276302f3a5f7f40" },
-    { seed: 2, entries: 60, room: 10, want: "3284e778d883508c" },
-    { seed: 3, entries: 60, room: 200, want: "b822e3d648d8e7a4" },
-    { seed: 4, entries: 200, room: 40, want: "b9c1c9ef1a7bec33" },
-    { seed: 5, entries: 200, room: 1000, want: "1dae789937b540f3" },
-    { seed: 6, entries: 400, room: 100, want: "bf203da96a2115ab" },
+test("the scheduling order of random queues matches the recorded digests", () => {
+  const cases: { seed: number; entryCount: number; capacity: number; expected: string }[] = [
+    { seed: 1, entryCount: 10, capacity: 20, expected: "5276302f3a5f7f40" },
+    { seed: 2, entryCount: 60, capacity: 10, expected: "3284e778d883508c" },
+    { seed: 3, entryCount: 60, capacity: 200, expected: "b822e3d648d8e7a4" },
+    { seed: 4, entryCount: 200, capacity: 40, expected: "b9c1c9ef1a7bec33" },
+    { seed: 5, entryCount: 200, capacity: 1000, expected: "1dae789937b540f3" },
+    { seed: 6, entryCount: 400, capacity: 100, expected: "bf203da96a2115ab" },
   ];
-  for (const { seed, entries, room, want } of cases) {
+  for (const { seed, entryCount, capacity, expected } of cases) {
     const random = seededRandom(seed);
-    const queue = Array.from({ length: entries }, (_, i) => randomEntry(random, i));
-    const order = serveOrder(
+    const queue = Array.from({ length: entryCount }, (_, i) => randomEntry(random, i));
+    const order = schedulingOrder(
       queue,
-      (priority, gpus) => room / (1 + priority) / (gpus ? 4 : 1),
-      (team) => (team === "one" ? room / 3 : room),
+      (priority, needsGpus) => capacity / (1 + priority) / (needsGpus ? 4 : 1),
+      (team) => (team === "one" ? capacity / 3 : capacity),
     );
     const result = order.map(({ id, taskLimit, fairShareTasks }) => [id, taskLimit, fairShareTasks]);
-    assert.equal(digestOf(result), want, `seed ${seed}`);
+    assert.equal(digestOf(result), expected, `seed ${seed}`);
   }
 });
 
-test("targets come from the job's own deadline and its class's objectives", () => {
+test("completion targets come from a job's own deadline and its class's objectives", () => {
   const objective = (kind: string, className: string | null, withinS: number | null, times = 1) => ({
     kind,
     className,
@@ -203,9 +205,12 @@
   assert.deepEqual(completionTargetsS("c", 10, objectives), [10]);
 });
 
-/** Guards the workers' leases: acknowledgements and grants have their turn between two scheduling cycles. */
-test("a leader that is behind pauses for longer between scheduling cycles", () => {
-  const cases: [lengthMs: number, lagMs: number, gapMs: number][] = [
+/**
+ * Guards against expired worker leases: with short gaps between long scheduling cycles, a leader acknowledges heartbeats
+ * and sends grants too late.
+ */
+test("an overloaded leader leaves longer gaps between scheduling cycles", () => {
+  const cases: [cycleDurationMs: number, lagMs: number, gapMs: number][] = [
     [0, 0, 50],
     [2, 0, 50],
     [20, 0, 200],
@@ -216,5 +221,6 @@
     [120, 900, 1200],
     [500, 900, 1500],
   ];
-  for (const [lengthMs, lagMs, gapMs] of cases) assert.equal(cycleGapMs(lengthMs, lagMs), gapMs);
+  for (const [cycleDurationMs, lagMs, gapMs] of cases)
+    assert.equal(cycleGapMs(cycleDurationMs, lagMs), gapMs);
 });
