--- a/.dependency-cruiser.mjs
+++ b/.dependency-cruiser.mjs
@@ -1,9 +1,9 @@
-/** Which module may import which; type imports count like all others. `npm run lint` checks it. */
+/** Rules for imports between modules, checked by `npm run lint`. They apply to type imports too. */
 
-/** From the left to the right: each layer imports only from those further right. */
+/** The layers of `src`: each may import only from layers after it in this list. */
 const LAYERS = ["cli", "controller", "coordination", "bookkeeping", "protocol", "transport"];
 
-/** The packages of `src/coordination`, likewise. */
+/** The packages of `src/coordination`: each may import only from packages after it in this list. */
 const COORDINATION = [
   "leader",
   "records",
@@ -16,7 +16,7 @@
   "term",
 ];
 
-/** One rule for each folder: it imports nothing from those to its left. */
+/** One rule for each folder, which forbids imports from the folders before it in the list. */
 function rulesFor(root, folders) {
   return folders.slice(1).map((folder, index) => ({
     name: `layer-${folder}`,
@@ -40,7 +40,7 @@
     },
     {
       name: "election-and-admission-stand-alone",
-      comment: "they use the term's lease and nothing else of the leader's parts",
+      comment: "election and admission may import the term package, but no other component of the leader",
       severity: "error",
       from: { path: "^src/coordination/(leadership|admission)/" },
       to: { path: "^src/coordination/", pathNot: "^src/coordination/(leadership|admission|term)/" },
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,7 +2,7 @@
 import jsdoc from "eslint-plugin-jsdoc";
 import ts from "typescript-eslint";
 
-/** Bounds that the code meets; they only ever fall. */
+/** Limits on the size and complexity of files and functions. They may be lowered, never raised. */
 const BOUNDS = {
   fileLines: 300,
   functionLines: 60,
@@ -13,7 +13,7 @@
   testComplexity: 16,
 };
 
-/** Words of an earlier house style that say less than the field's terms; see the glossary in docs/design.md. */
+/** Identifiers of an earlier naming style, replaced by the more precise terms in the glossary of docs/design.md. */
 const WITHDRAWN_WORDS = ["book", "doubt", "heard", "hears", "ledger", "life", "news", "setAside", "told"];
 
 export default ts.config(
@@ -55,25 +55,25 @@
         { selector: "typeLike", format: ["PascalCase"] },
         { selector: "function", format: ["camelCase"] },
         { selector: "variable", format: ["camelCase", "UPPER_CASE"], leadingUnderscore: "allow" },
-        // Tables of constants that stand in for an enum.
+        // Constant objects that are used as enums.
         {
           selector: "variable",
           modifiers: ["const", "global", "exported"],
           format: ["camelCase", "UPPER_CASE", "PascalCase"],
         },
-        // Names that a library gives to its classes.
+        // Names that are destructured from a library, such as its classes.
         { selector: "variable", modifiers: ["destructured"], format: null },
         { selector: "method", format: ["camelCase"] },
       ],
     },
   },
-  // The wire's and the stored records' words are known to their codecs alone.
+  // Only codecs use the field names of messages and stored records.
   {
     files: ["src/**/*.ts"],
     ignores: ["src/protocol/**", "src/coordination/leadership/leadershipRecord.ts"],
     rules: { "id-denylist": ["error", ...WITHDRAWN_WORDS] },
   },
-  // Whatever a module offers says what it promises.
+  // Every exported item needs a doc comment.
   {
     files: ["src/**/*.ts"],
     plugins: { jsdoc },
@@ -93,7 +93,7 @@
       ],
     },
   },
-  // A table of cases may be as long as it likes.
+  // Tests may contain long tables of cases.
   {
     files: ["test/**/*.ts"],
     rules: {
--- a/src/cli/arguments.ts
+++ b/src/cli/arguments.ts
@@ -1,24 +1,27 @@
-/** What the command line's arguments mean. */
+/** Parses the arguments of the command line. */
 import { parseArgs } from "node:util";
 
-/** The command line can't be understood; the message says why. */
+/** Invalid command line usage. The message names the argument at fault and the expectation. */
 export class UsageError extends Error {}
 
-/** The arguments, sorted but not yet checked against a command. */
+/** The parsed arguments, not yet checked against a command's requirements. */
 export interface Arguments {
-  /** The command and what follows it. */
+  /** The command and its operands. */
   positionals: string[];
-  /** Path of the platform's settings. */
+  /** Path of the platform's settings file. */
   config?: string;
-  /** Path of the operators' settings. */
+  /** Path of the operators' settings file. */
   operator?: string;
-  /** Address of the controller or load balancer that a job command talks to. */
+  /** Address of the controller or load balancer that a job command sends its request to. */
   server?: string;
   help?: boolean;
   version?: boolean;
 }
 
-/** @throws UsageError for an unknown option or one without its value. */
+/**
+ * Parses the arguments that follow the program's name.
+ * @throws UsageError for an unknown option or an option without its value.
+ */
 export function parseArguments(argv: string[]): Arguments {
   try {
     const { values, positionals } = parseArgs({
@@ -38,7 +41,10 @@
   }
 }
 
-/** For commands that take nothing but options. */
-export function refuseOperands(operands: string[]): void {
+/**
+ * Checks the operands of a command that takes only options.
+ * @throws UsageError if there is any operand.
+ */
+export function rejectOperands(operands: string[]): void {
   if (operands.length > 0) throw new UsageError(`unexpected argument ${JSON.stringify(operands[0])}`);
 }
--- a/src/cli/exitCode.ts
+++ b/src/cli/exitCode.ts
@@ -1,9 +1,9 @@
-/** What the process's exit code says; scripts rely on it. */
+/** Exit codes of the process. Scripts depend on them. */
 export const ExitCode = {
   done: 0,
-  /** The service refused the request or failed. */
+  /** The service rejected the request or failed. */
   failed: 1,
-  /** Wrong usage or wrong settings. */
+  /** Invalid usage or invalid settings. */
   usage: 2,
 } as const;
 
--- a/src/cli/job.ts
+++ b/src/cli/job.ts
@@ -9,8 +9,8 @@
 const ACTIONS = ["submit", "show", "cancel"] as const;
 type Action = (typeof ACTIONS)[number];
 
-/** A controller answers well within this, or not at all. */
-const TIMEOUT_MS = 10_000;
+/** Response timeout. A controller responds well within it or not at all. */
+const RESPONSE_TIMEOUT_MS = 10_000;
 
 const STANDARD_INPUT = "-";
 const STANDARD_INPUT_DESCRIPTOR = 0;
@@ -21,9 +21,9 @@
   body: unknown;
 }
 
-/** Prints the controller's response: a good one on standard output, others with their status on standard error. */
+/** Sends the request; prints a successful response on standard output, any other with its status on standard error. */
 export async function job(operands: string[], { server }: Arguments): Promise<ExitCode> {
-  const { action, operand } = readOperands(operands);
+  const { action, operand } = parseOperands(operands);
   if (server === undefined) throw new UsageError(`job ${action} needs --server ADDRESS`);
   if (!/^[^\s:]+:\d{1,5}$/.test(server))
     throw new Error(`--server ${server}: must be an address such as 127.0.0.1:8080`);
@@ -37,7 +37,7 @@
   return ExitCode.failed;
 }
 
-function readOperands([action, operand, ...more]: string[]): { action: Action; operand: string } {
+function parseOperands([action, operand, ...more]: string[]): { action: Action; operand: string } {
   if (!isAction(action)) throw new UsageError("job takes submit, show or cancel");
   if (operand === undefined || more.length > 0) throw new UsageError(`job ${action} takes one argument`);
   return { action, operand };
@@ -49,7 +49,7 @@
 
 function requestFor(action: Action, operand: string): ApiRequest {
   if (action === "submit") return { method: "POST", path: "/v1/jobs", body: readSubmission(operand) };
-  if (!isJobId(operand)) throw new Error(`${operand}: a job's id looks like job-000412`);
+  if (!isJobId(operand)) throw new Error(`${operand}: must be a job ID such as job-000412`);
   const path = `/v1/jobs/${operand}`;
   return action === "show"
     ? { method: "GET", path, body: undefined }
@@ -68,13 +68,13 @@
 async function call(server: string, { method, path, body }: ApiRequest): Promise<ClientResponse> {
   const client = new HttpClient(1);
   try {
-    return await client.call(server, method, path, body, TIMEOUT_MS);
+    return await client.call(server, method, path, body, RESPONSE_TIMEOUT_MS);
   } catch (error) {
     if (!(error instanceof NoResponseError)) throw error;
-    const advice = error.neverSent
+    const hint = error.neverSent
       ? "is a controller running there?"
-      : "the request may have been carried out; it is safe to repeat it";
-    throw new Error(`no answer: ${error.message}; ${advice}`, { cause: error });
+      : "the request may have been executed; repeating it is safe";
+    throw new Error(`no response: ${error.message}; ${hint}`, { cause: error });
   } finally {
     client.close();
   }
--- a/src/cli/serve.ts
+++ b/src/cli/serve.ts
@@ -1,17 +1,17 @@
 /** `lichenturn serve`: runs a controller until the process is killed. */
 import { systemClock } from "../transport/clock.js";
 import { configureLog, describeException, log } from "../transport/log.js";
-import { refuseOperands, type Arguments } from "./arguments.js";
+import { rejectOperands, type Arguments } from "./arguments.js";
 import { loadSettings } from "./settings.js";
 
-/** Resolves once the controller serves; the process goes on from there. */
+/** Starts the controller; resolves once it accepts connections, while the process keeps running. */
 export async function serve(operands: string[], options: Arguments): Promise<void> {
-  refuseOperands(operands);
+  rejectOperands(operands);
   const { platform, operator } = await loadSettings("serve", options);
   configureLog(process.env.LOG_LEVEL, platform.node);
-  process.on("uncaughtException", (error) => log.error(`uncaught: ${describeException(error)}`));
-  process.on("unhandledRejection", (error) => log.error(`unhandled: ${String(error)}`));
-  // Loaded only here: the other commands, and wrong settings, need none of it.
+  process.on("uncaughtException", (error) => log.error(`uncaught exception: ${describeException(error)}`));
+  process.on("unhandledRejection", (error) => log.error(`unhandled promise rejection: ${String(error)}`));
+  // The controller is loaded here because neither the other commands nor a run with invalid settings need it.
   const { serve: serveController } = await import("../controller/process.js");
   await serveController(platform, operator, systemClock);
 }
--- a/src/cli/settings.ts
+++ b/src/cli/settings.ts
@@ -1,20 +1,21 @@
-/** The settings that `serve` and `check` share. */
-import { loadOperator, type Operator } from "../settings/operator.js";
-import { loadPlatform, type Platform } from "../settings/platform.js";
+/** Loads the settings files for the commands `serve` and `check`. */
+import { loadOperatorSettings, type OperatorSettings } from "../settings/operator.js";
+import { loadPlatformSettings, type PlatformSettings } from "../settings/platform.js";
 import { UsageError, type Arguments } from "./arguments.js";
 
-/** Both settings files, read and checked. */
+/** The validated contents of both settings files. */
 export interface Settings {
-  platform: Platform;
-  operator: Operator;
+  platform: PlatformSettings;
+  operator: OperatorSettings;
 }
 
 /**
- * Reads the settings files that the command line names.
- * @throws UsageError when `--config` is missing, SettingsError for wrong settings.
+ * Loads the settings files that the command line names.
+ * @throws UsageError if `--config` is missing.
+ * @throws SettingsError if the settings are invalid.
  */
 export async function loadSettings(command: string, { config, operator }: Arguments): Promise<Settings> {
   if (config === undefined) throw new UsageError(`${command} needs --config FILE`);
-  const platform = loadPlatform(config);
-  return { platform, operator: await loadOperator(operator) };
+  const platform = loadPlatformSettings(config);
+  return { platform, operator: await loadOperatorSettings(operator) };
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: its parts, wired to each other and to whatever stands for the outside. */
+/** A controller: creates its components and connects them to each other and to the network, which may be simulated. */
 import { LiveJobCache } from "../bookkeeping/liveJobCache.js";
 import { StateStoreClient } from "../bookkeeping/stateStoreClient.js";
 import { Admission } from "../coordination/admission/admission.js";
@@ -13,8 +13,8 @@
 import type { MachineType } from "../protocol/model.js";
 import { encodePeerMessage } from "../protocol/peers/codec.js";
 import type { PeerMessage, TaskCounts } from "../protocol/peers/messages.js";
-import type { Operator } from "../settings/operator.js";
-import type { Platform } from "../settings/platform.js";
+import type { OperatorSettings } from "../settings/operator.js";
+import type { PlatformSettings } from "../settings/platform.js";
 import type { Clock } from "../transport/clock.js";
 import { EventLoopLagMeter } from "../transport/eventLoopLag.js";
 import type { HttpCaller } from "../transport/httpClient.js";
@@ -25,35 +25,35 @@
 import { PeerDispatch, type FrameHandler } from "./peerDispatch.js";
 import { Readiness } from "./readiness.js";
 
-/** A leadership lease shorter than this would be lost to a slow response now and then. */
+/** A shorter leadership lease would occasionally expire because of a slow response from the state store. */
 const LEADERSHIP_LEASE_MS = 4000;
-/** A controller that doesn't lead looks this often at who does. */
-const PROBE_MS = 500;
-/** A worker has so long to answer commands. */
+/** Interval at which a controller that does not lead reads who does. */
+const PROBE_INTERVAL_MS = 500;
+/** Timeout of a worker's response to commands. */
 const COMMAND_TIMEOUT_MS = 3000;
-/** Reads of live jobs are no closer together than this. */
-const MIN_READ_GAP_MS = 250;
-/** The share of the state store's rate that all controllers' reads of live jobs take at most. */
+/** Minimum time between the starts of two reads of live jobs. */
+const MIN_LIVE_READ_INTERVAL_MS = 250;
+/** Maximum share of the state store's request rate that the live job reads of all controllers use. */
 const LIVE_JOB_READ_SHARE = 0.45;
-/** Confirmed cancellations are kept so much longer than any task of theirs can last. */
-const CANCELLATION_MARGIN_S = 10;
-/** Incarnations on the wire are below this. */
+/** Margin by which a confirmed cancellation is kept longer than any task of the cancelled job can run. */
+const CANCELLATION_RETENTION_MARGIN_S = 10;
+/** Exclusive upper bound of a heartbeat server's incarnation in peer messages. */
 const INCARNATION_BOUND = 2 ** 47;
 
-/** What a controller uses of the world around it. */
+/** What a controller needs from its process: clock, network and random numbers. */
 export interface ControllerEnvironment {
   clock: Clock;
   stateStoreHttp: HttpCaller;
   cloudHttp: HttpCaller;
   workerHttp: HttpCaller;
   peerPort: PeerPort;
-  /** Different in each process. */
+  /** Unique to each process of this controller. */
   incarnation: string;
-  /** Between 0 and 1. */
+  /** Returns a random number from 0 (included) to 1 (excluded). */
   random: () => number;
 }
 
-/** One controller. Its parts reach each other through callbacks, so that none of them knows all others. */
+/** Owns the components of one controller. They call each other through callbacks, so that none depends on all others. */
 export class Controller {
   private readonly eventLoopLag: EventLoopLagMeter;
   private readonly stateStore: StateStoreClient;
@@ -68,12 +68,12 @@
   private readonly httpRoutes: HttpRoutes;
   private readonly peerDispatch: PeerDispatch;
   private readonly peerNames: string[];
-  /** Resolves once heartbeats may be acknowledged here. */
+  /** Resolves once this controller may acknowledge heartbeats for the first time. */
   private readonly firstGrant: Promise<void>;
 
   constructor(
-    private readonly platform: Platform,
-    operator: Operator,
+    private readonly platform: PlatformSettings,
+    operator: OperatorSettings,
     private readonly environment: ControllerEnvironment,
   ) {
     const { clock } = environment;
@@ -96,7 +96,7 @@
     this.peerDispatch = this.buildPeerDispatch();
   }
 
-  /** Starts every part; the controller answers requests from now on, though it is not ready before it knows enough. */
+  /** Starts all components. Requests are handled from now on; readiness follows once the machine types are known. */
   start(): void {
     this.eventLoopLag.start();
     this.elector.start();
@@ -105,7 +105,7 @@
     this.machineTypesFetcher.start();
   }
 
-  /** Ends every timer. */
+  /** Stops all components and their timers. */
   stop(): void {
     this.machineTypesFetcher.stop();
     this.eventLoopLag.stop();
@@ -115,10 +115,10 @@
     this.cloud.tell({ kind: "stop" });
   }
 
-  /** Resolves once heartbeats may be acknowledged here, or after that time. */
-  waitForFirstGrant(withinMs: number): Promise<void> {
+  /** Resolves once this controller may acknowledge heartbeats, or after the timeout. */
+  waitForFirstGrant(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
-      const timer = this.environment.clock.after(withinMs, resolve);
+      const timer = this.environment.clock.after(timeoutMs, resolve);
       void this.firstGrant.then(() => {
         timer.cancel();
         resolve();
@@ -126,19 +126,19 @@
     });
   }
 
-  /** Takes an HTTP request and calls `reply` exactly once, now or later. */
+  /** Handles an HTTP request; calls `reply` exactly once, synchronously or later. */
   handleRequest(request: ServerRequest, reply: (response: ServerResponse) => void): void {
     this.httpRoutes.handle(request, reply);
   }
 
-  /** A link of a peer has come in; returns what takes its frames. */
+  /** Accepts an incoming link and returns the handler of its frames. */
   acceptPeerLink(): FrameHandler {
     return this.peerDispatch.acceptLink();
   }
 
-  /** A link to a peer has closed and its host refuses a new one; so many links to other peers stand. */
-  onPeerRefused(peer: string, standingLinks: number): void {
-    const othersReachable = standingLinks > 0 || this.platform.peers.length === 1;
+  /** Handles a lost link to a peer whose host refuses a new one; `establishedLinks` counts the links to other peers. */
+  onPeerConnectionRefused(peer: string, establishedLinks: number): void {
+    const othersReachable = establishedLinks > 0 || this.platform.peers.length === 1;
     this.elector.tell({ kind: "peer refused", peer, othersReachable });
   }
 
@@ -161,10 +161,10 @@
     const { clock } = this.environment;
     return new Admission({
       stateStore,
-      liveJobs: new LiveJobCache(stateStore, clock, liveJobReadGapMs(platform)),
+      liveJobs: new LiveJobCache(stateStore, clock, liveJobReadIntervalMs(platform)),
       clock,
       teams: platform.teams,
-      valueBytes: platform.stateStoreValueKb * 1024,
+      maxValueBytes: platform.stateStoreMaxValueKib * 1024,
       onCancellationConfirmed: (id, at) =>
         this.heartbeatServer.tell({ kind: "cancellation confirmed", id, at }),
     });
@@ -186,7 +186,7 @@
     );
   }
 
-  private buildLeader(operator: Operator): Leader {
+  private buildLeader(operator: OperatorSettings): Leader {
     return new Leader({
       platform: this.platform,
       operator,
@@ -201,14 +201,14 @@
       lagMs: this.lagMs,
       onDeposed: (term) => this.elector.tell({ kind: "deposed", term }),
       onLagging: (term) => this.elector.tell({ kind: "lagging", term }),
-      onMachineTypes: (types) => this.machineTypesKnown(types),
+      onMachineTypes: (types) => this.handleMachineTypes(types),
       onTaskCounts: (term, jobs) => this.publishTaskCounts(term, jobs),
     });
   }
 
   private buildHeartbeatServer(onFirstGrant: () => void): HeartbeatServer {
     const { platform, environment } = this;
-    const cancellationRetentionS = platform.cancelS + platform.leaseS + CANCELLATION_MARGIN_S;
+    const cancellationRetentionS = platform.cancelS + platform.leaseS + CANCELLATION_RETENTION_MARGIN_S;
     return new HeartbeatServer({
       node: platform.node,
       zone: platform.zone,
@@ -237,8 +237,8 @@
       send: this.sendToPeer,
       random,
       leaseMs: LEADERSHIP_LEASE_MS,
-      pollIntervalMs: PROBE_MS,
-      onLeadershipChange: (change) => this.leadershipChanged(change),
+      pollIntervalMs: PROBE_INTERVAL_MS,
+      onLeadershipChange: (change) => this.handleLeadershipChange(change),
     });
   }
 
@@ -266,8 +266,8 @@
     });
   }
 
-  private machineTypesKnown(types: MachineType[]): void {
-    this.readiness.machineTypesKnown();
+  private handleMachineTypes(types: MachineType[]): void {
+    this.readiness.setMachineTypesKnown();
     this.machineTypesFetcher.stop();
     this.admission.tell({ kind: "types", types });
   }
@@ -278,22 +278,22 @@
       this.sendToPeer(peer, { kind: "task counts", from: this.platform.node, term, jobs });
   }
 
-  private leadershipChanged(change: LeadershipChange): void {
-    // The leader first: the heartbeat server passes its workers' heartbeats on to it at once.
+  private handleLeadershipChange(change: LeadershipChange): void {
+    // The leader is notified first, because the heartbeat server forwards its workers' heartbeats to it immediately.
     this.leader.tell({ kind: "election", change });
     this.heartbeatServer.tell({ kind: "election", change });
   }
 }
 
 /**
- * All controllers' reads of live jobs together take less than half of what the state store serves. No user minds a response
- * a moment later, while each read costs this controller as much as several responses.
+ * The interval keeps the live job reads of all controllers together below half of the state store's request rate. Users
+ * barely notice the added delay, while each read costs this controller as much as several responses.
  */
-function liveJobReadGapMs({ clusterSize, stateStoreRps }: Platform): number {
-  return Math.max(MIN_READ_GAP_MS, (1000 * clusterSize) / (stateStoreRps * LIVE_JOB_READ_SHARE));
+function liveJobReadIntervalMs({ clusterSize, stateStoreRps }: PlatformSettings): number {
+  return Math.max(MIN_LIVE_READ_INTERVAL_MS, (1000 * clusterSize) / (stateStoreRps * LIVE_JOB_READ_SHARE));
 }
 
-/** Each controller's zone, ours included. */
-function controllerZones({ node, zone, peers }: Platform): ReadonlyMap<string, string> {
+/** The zone of each controller by its name, this one included. */
+function controllerZones({ node, zone, peers }: PlatformSettings): ReadonlyMap<string, string> {
   return new Map([[node, zone], ...peers.map((peer): [string, string] => [peer.name, peer.zone])]);
 }
--- a/src/controller/httpRoutes.ts
+++ b/src/controller/httpRoutes.ts
@@ -7,7 +7,7 @@
 import { decodeHeartbeat } from "../protocol/workers.js";
 import type { ServerRequest, ServerResponse } from "../transport/httpServer.js";
 
-/** What requests are handed to. */
+/** The components that handle the requests. */
 export interface HttpRoutesContext {
   admission: Admission;
   heartbeatServer: HeartbeatServer;
@@ -18,14 +18,14 @@
 type Reply = (response: ServerResponse) => void;
 type UserRoute = Extract<ApiRoute, { call: "submit" | "show" | "cancel" }>;
 
-/** A busy controller sends users away for so long. */
+/** Asks users whose request was shed to retry after two seconds. */
 const OVERLOADED_HEADERS = { "Retry-After": "2" };
 
-/** Answers the requests that come in over HTTP. */
+/** Routes HTTP requests to admission, the heartbeat server and the readiness check; sheds users' requests under overload. */
 export class HttpRoutes {
   constructor(private readonly context: HttpRoutesContext) {}
 
-  /** Calls `reply` exactly once, now or later. */
+  /** Handles a request; calls `reply` exactly once, synchronously or later. */
   handle(request: ServerRequest, reply: Reply): void {
     const route = routeRequest(request.method, request.path);
     switch (route.call) {
@@ -60,12 +60,12 @@
   private handleUserRequest(route: UserRoute, request: ServerRequest, reply: Reply): void {
     const { admission, limiter } = this.context;
     const kind = route.call === "show" ? "read" : "change";
-    if (!limiter.take(kind)) {
+    if (!limiter.tryAcquire(kind)) {
       reply({ status: 503, body: { error: "too much at once" }, headers: OVERLOADED_HEADERS });
       return;
     }
     const finish = (response: ServerResponse): void => {
-      limiter.finished(kind);
+      limiter.release(kind);
       reply(response);
     };
     if (route.call !== "submit") {
--- a/src/controller/peerDispatch.ts
+++ b/src/controller/peerDispatch.ts
@@ -1,4 +1,4 @@
-/** Checks what comes in from other controllers, and hands each message to the part that it concerns. */
+/** Validates frames from other controllers and dispatches each message to the component that handles it. */
 import type { Admission } from "../coordination/admission/admission.js";
 import type { CommandRouter } from "../coordination/commands/commandRouter.js";
 import type { HeartbeatServer } from "../coordination/heartbeats/heartbeatServer.js";
@@ -9,7 +9,7 @@
 import type { Clock } from "../transport/clock.js";
 import type { Readiness } from "./readiness.js";
 
-/** Where peers' messages go. */
+/** The known peers and the components that handle their messages. */
 export interface PeerDispatchContext {
   /** Names of the other controllers. */
   peers: string[];
@@ -22,23 +22,23 @@
   readiness: Readiness;
 }
 
-/** Takes the frames of one incoming link; returns why the link has to be closed, or null while all is in order. */
+/** Handles a frame of one incoming link; returns the reason to close the link, or null if the frame is valid. */
 export type FrameHandler = (frame: Buffer) => string | null;
 
-/** Dispatches the messages of other controllers. */
+/** Dispatches peer messages. A link whose first frame is no valid hello, or that impersonates another peer, is closed. */
 export class PeerDispatch {
   constructor(private readonly context: PeerDispatchContext) {}
 
-  /** A link has come in. Its first frame names its peer, and every later one has to come from that peer. */
+  /** Returns the handler for a new link. Its first frame names the peer, which has to be the sender of all later frames. */
   acceptLink(): FrameHandler {
     let peer: string | null = null;
     return (frame) => {
       const message = decodePeerMessage(frame);
-      if (!message) return "not a frame of ours";
+      if (!message) return "not a frame of the peer protocol";
       if (peer === null) {
-        const problem = this.greetingProblem(message);
-        if (problem === null) peer = message.from;
-        return problem;
+        const rejectionReason = this.helloRejectionReason(message);
+        if (rejectionReason === null) peer = message.from;
+        return rejectionReason;
       }
       if (message.from !== peer) return `${peer} speaks for ${message.from}`;
       this.dispatch(message);
@@ -46,11 +46,11 @@
     };
   }
 
-  private greetingProblem(message: PeerMessage): string | null {
-    if (message.kind !== "hello") return "no greeting";
+  private helloRejectionReason(message: PeerMessage): string | null {
+    if (message.kind !== "hello") return "no greeting: the first frame must be a hello";
     if (message.version !== PEER_PROTOCOL_VERSION)
-      return `${message.from} speaks version ${message.version}, this node ${PEER_PROTOCOL_VERSION}`;
-    if (!this.context.peers.includes(message.from)) return `${message.from} is no peer`;
+      return `${message.from} speaks version ${message.version}, this node speaks version ${PEER_PROTOCOL_VERSION}`;
+    if (!this.context.peers.includes(message.from)) return `${message.from} is no peer of this controller`;
     return null;
   }
 
@@ -66,7 +66,8 @@
         leader.tell({ kind: "heartbeat server update", update: message });
         break;
       case "grant":
-        if (message.stateStoreReachable) this.context.readiness.leaderServed(this.context.clock.nowMs());
+        if (message.stateStoreReachable)
+          this.context.readiness.recordLeaderServed(this.context.clock.nowMs());
         heartbeatServer.tell({ kind: "grant", grant: message });
         break;
       case "isolated":
--- a/src/controller/process.ts
+++ b/src/controller/process.ts
@@ -1,8 +1,8 @@
-/** Runs a controller as a process: real sockets, real time. */
+/** Runs a controller in this process, on real sockets and the system clock. */
 import type { Server } from "node:http";
 import { encodeHello } from "../protocol/peers/codec.js";
-import type { Operator } from "../settings/operator.js";
-import type { Platform } from "../settings/platform.js";
+import type { OperatorSettings } from "../settings/operator.js";
+import type { PlatformSettings } from "../settings/platform.js";
 import type { Clock } from "../transport/clock.js";
 import { HttpClient } from "../transport/httpClient.js";
 import { startHttpServer } from "../transport/httpServer.js";
@@ -10,47 +10,47 @@
 import { PeerLinks } from "../transport/peerLinks.js";
 import { Controller } from "./controller.js";
 
-/** The longest body of a request that is read. */
+/** Maximum size of a request body. */
 const MAX_BODY_BYTES = 64 * 1024;
-/** A new process serves workers and users after this at the latest, whether it may acknowledge heartbeats or not. */
-const START_WAIT_MS = 2500;
+/** A new process starts its HTTP server after this time at the latest, even if it may not acknowledge heartbeats yet. */
+const FIRST_GRANT_TIMEOUT_MS = 2500;
 
-/** The most sockets to the state store, to the cloud, and to each worker. */
-const STATE_STORE_SOCKETS = 24;
-const CLOUD_SOCKETS = 4;
-const WORKER_SOCKETS = 2;
+/** Maximum number of sockets to the state store, to the cloud, and to each worker. */
+const MAX_STATE_STORE_SOCKETS = 24;
+const MAX_CLOUD_SOCKETS = 4;
+const MAX_SOCKETS_PER_WORKER = 2;
 
-/** Sockets that users and workers don't get: they are for the state store, the cloud, workers' commands and peers. */
+/** Maximum number of sockets kept free of incoming requests: for the state store, the cloud, commands and peers. */
 const MAX_RESERVED_SOCKETS = 200;
-/** No more than this part of all sockets is reserved. */
+/** Maximum share of all sockets that is reserved. */
 const MAX_RESERVED_SHARE = 1 / 4;
 const MIN_SERVER_CONNECTIONS = 8;
 
-/** A controller that runs in this process. */
+/** The handle of a running controller. */
 export interface RunningController {
-  /** Closes every socket and timer of it. */
+  /** Stops the controller and closes all its sockets and timers. */
   stop(): void;
 }
 
 /**
- * Starts a controller; resolves once it serves.
- * @throws when an address can't be listened on.
+ * Starts a controller; resolves once its HTTP server accepts connections.
+ * @throws if a socket can't listen on its configured address.
  */
 export async function serve(
-  platform: Platform,
-  operator: Operator,
+  platform: PlatformSettings,
+  operator: OperatorSettings,
   clock: Clock,
 ): Promise<RunningController> {
-  const stateStoreHttp = new HttpClient(STATE_STORE_SOCKETS);
-  const cloudHttp = new HttpClient(CLOUD_SOCKETS);
-  const workerHttp = new HttpClient(WORKER_SOCKETS);
+  const stateStoreHttp = new HttpClient(MAX_STATE_STORE_SOCKETS);
+  const cloudHttp = new HttpClient(MAX_CLOUD_SOCKETS);
+  const workerHttp = new HttpClient(MAX_SOCKETS_PER_WORKER);
   const links = new PeerLinks({
     listen: platform.peerListenAddress,
     peers: platform.peers,
     clock,
     greeting: encodeHello(platform.node),
     onLink: () => controller.acceptPeerLink(),
-    onRefused: (peer, standing) => controller.onPeerRefused(peer, standing),
+    onRefused: (peer, establishedLinks) => controller.onPeerConnectionRefused(peer, establishedLinks),
     onBadLink: (reason) => log.error(reason),
     onError: logError,
   });
@@ -60,19 +60,19 @@
     cloudHttp,
     workerHttp,
     peerPort: links,
-    incarnation: processIncarnation(Math.random),
+    incarnation: createIncarnation(Math.random),
     random: Math.random,
   });
   await links.start();
   controller.start();
-  // Until it has a leader's grant a new process could only turn workers away. After a crash of all controllers hundreds of
-  // them come to it each second: refused by the kernel they cost it nothing, answered they took the time that the grant
-  // needed.
-  await controller.waitForFirstGrant(START_WAIT_MS);
+  // Without a grant a new process can only reject heartbeats. After a crash of all controllers hundreds of workers connect
+  // each second: connections that the kernel refuses cost this process nothing, while answering them used up the processor
+  // time needed to obtain the grant.
+  await controller.waitForFirstGrant(FIRST_GRANT_TIMEOUT_MS);
   const server: Server = await startHttpServer({
     listen: platform.listenAddress,
     maxBodyBytes: MAX_BODY_BYTES,
-    maxConnections: serverConnections(platform.maxConnections),
+    maxConnections: maxServerConnections(platform.maxConnections),
     handler: (request, reply) => controller.handleRequest(request, reply),
     onError: logError,
   });
@@ -92,19 +92,22 @@
   log.error(describeException(error));
 }
 
-/** Connections of users and workers that fit into this many sockets beside the reserved ones. */
-function serverConnections(sockets: number): number {
-  const reserved = Math.min(MAX_RESERVED_SOCKETS, Math.floor(sockets * MAX_RESERVED_SHARE));
-  return Math.max(MIN_SERVER_CONNECTIONS, sockets - reserved);
+/** The number of users' and workers' connections that fit within the socket limit, beside the reserved sockets. */
+function maxServerConnections(maxSockets: number): number {
+  const reserved = Math.min(MAX_RESERVED_SOCKETS, Math.floor(maxSockets * MAX_RESERVED_SHARE));
+  return Math.max(MIN_SERVER_CONNECTIONS, maxSockets - reserved);
 }
 
-/** Each of the two draws of an incarnation is below this. */
+/** Exclusive upper bound of each of the two random numbers of an incarnation. */
 const INCARNATION_PART_BOUND = 2 ** 48;
 
 /**
- * Distinguishes this process from others of the same controller: no secret, just never the same twice. Two draws of V8's
- * generator, which each process seeds anew, spare the start `node:crypto`, a fifteenth of its processor time.
+ * An identifier that distinguishes this process from other processes of the same controller; it must be unique but not
+ * secret. Two numbers from V8's generator, which each process seeds anew, suffice: loading `node:crypto` would take a
+ * fifteenth of the start's processor time.
  */
-function processIncarnation(random: () => number): string {
-  return [random(), random()].map((part) => Math.floor(part * INCARNATION_PART_BOUND).toString(16)).join("-");
+function createIncarnation(random: () => number): string {
+  return [random(), random()]
+    .map((randomPart) => Math.floor(randomPart * INCARNATION_PART_BOUND).toString(16))
+    .join("-");
 }
--- a/src/controller/readiness.ts
+++ b/src/controller/readiness.ts
@@ -1,35 +1,37 @@
-/** Whether a load balancer should send users' requests to this controller. */
+/** Readiness: whether a load balancer should send users' requests to this controller. */
 import type { StateStoreClient } from "../bookkeeping/stateStoreClient.js";
 
-/** Refused by the state store for so long, a controller counts as cut off from it. */
-const CUT_OFF_MS = 4000;
-/** The leader's word that the state store serves it counts for so long. */
-const LEADER_SERVED_MS = 1200;
+/** A controller whose state store requests have failed for longer than this counts as cut off from the store. */
+const CUT_OFF_THRESHOLD_MS = 4000;
+/** Validity of the leader's last report that the state store serves it. */
+const LEADER_SERVED_VALIDITY_MS = 1200;
 
 /**
- * Ready when requests can be decided here. A controller that the state store refuses alone turns users away; in an outage
- * that hits all controllers that would help nobody, and the load balancer would leave all of them out for long after it.
+ * A controller is ready once it knows the machine types, unless it alone is cut off from the state store. In an outage that
+ * affects all controllers it stays ready: other controllers could not help, and the load balancer would keep all of them
+ * out of rotation long after the outage.
  */
 export class Readiness {
   private hasMachineTypes = false;
-  private leaderServedMs = -Infinity;
+  private leaderServedAtMs = -Infinity;
 
   constructor(private readonly stateStore: Pick<StateStoreClient, "lastServedSentMs" | "lastRefusedMs">) {}
 
-  machineTypesKnown(): void {
+  setMachineTypesKnown(): void {
     this.hasMachineTypes = true;
   }
 
-  /** The leader has said that the state store serves it. */
-  leaderServed(nowMs: number): void {
-    this.leaderServedMs = nowMs;
+  /** Records that the leader has reported the state store as reachable. */
+  recordLeaderServed(nowMs: number): void {
+    this.leaderServedAtMs = nowMs;
   }
 
   isReady(nowMs: number): boolean {
     if (!this.hasMachineTypes) return false;
     const { lastServedSentMs, lastRefusedMs } = this.stateStore;
     const refusedForMs = lastRefusedMs > lastServedSentMs ? nowMs - lastServedSentMs : 0;
-    const isCutOffAlone = refusedForMs > CUT_OFF_MS && nowMs - this.leaderServedMs < LEADER_SERVED_MS;
-    return !isCutOffAlone;
+    const onlyThisNodeIsCutOff =
+      refusedForMs > CUT_OFF_THRESHOLD_MS && nowMs - this.leaderServedAtMs < LEADER_SERVED_VALIDITY_MS;
+    return !onlyThisNodeIsCutOff;
   }
 }
--- a/src/coordination/admission/admission.ts
+++ b/src/coordination/admission/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Answers users' requests, at any controller. What is said is durable first (rules `forgotten`, `went_back`, `invented`):
- * "accepted" and "cancelled" are committed before they are said; "not yet over" and "no such job" come from a fresh read.
+ * The admission actor answers users' requests on every controller, leader or follower. An acceptance or a cancellation is
+ * committed to the state store before it is confirmed to the user, and "live" or "no such job" is answered only from a
+ * read that began after the request came in (rules `forgotten`, `went_back`, `invented`).
  */
 import type { LiveJobCache } from "../../bookkeeping/liveJobCache.js";
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
@@ -18,7 +19,7 @@
 import { StatusQuery } from "./statusQuery.js";
 import { Submission } from "./submission.js";
 import { TaskCountTable } from "./taskCountTable.js";
-import { internalError } from "./userResponses.js";
+import { internalErrorResponse } from "./userResponses.js";
 
 type Reply = (response: ServerResponse) => void;
 
@@ -26,24 +27,24 @@
   | { kind: "submit"; value: unknown; reply: Reply }
   | { kind: "show"; id: string; reply: Reply }
   | { kind: "cancel"; id: string; reply: Reply }
-  /** The cloud's machine types, whenever they change. */
+  /** The cloud's machine types; sent again whenever they change. */
   | { kind: "types"; types: MachineType[] }
-  /** From the leader, for display only. */
+  /** Task counts that the leader publishes, for display only. */
   | { kind: "task counts"; jobs: TaskCounts[] };
 
-/** What admission uses of its controller. */
+/** Dependencies and settings of the admission actor. */
 export interface AdmissionOptions {
   stateStore: StateStoreClient;
   liveJobs: LiveJobCache;
   clock: Clock;
   teams: Team[];
-  /** The longest value that the state store takes. */
-  valueBytes: number;
-  /** Called before a user is told that a job is cancelled whose tasks may still be somewhere (rule `ran_cancelled`). */
+  /** Maximum size of a value in the state store, in bytes. */
+  maxValueBytes: number;
+  /** Called before a response reports a live job, whose tasks may still run, as cancelled (rule `ran_cancelled`). */
   onCancellationConfirmed: (id: string, cancelledAt: Date) => void;
 }
 
-/** The actor that users' requests go to. Each is answered exactly once. */
+/** Receives users' requests and answers each exactly once, also when its handling throws. */
 export class Admission extends Actor<AdmissionMessage> {
   private readonly taskCounts = new TaskCountTable();
   private readonly submission: Submission;
@@ -59,7 +60,7 @@
       stateStore: options.stateStore,
       liveJobs: options.liveJobs,
       finalRecords,
-      onFinal: (id) => taskCounts.delete(id),
+      onFinalRecordRead: (id) => taskCounts.delete(id),
     });
     this.submission = new Submission({ ...options, finalRecords, lookup, phases });
     this.cancellation = new Cancellation({ ...options, lookup, phases });
@@ -68,13 +69,13 @@
 
   protected override failed(message: AdmissionMessage, error: unknown): void {
     super.failed(message, error);
-    if ("reply" in message) message.reply(internalError);
+    if ("reply" in message) message.reply(internalErrorResponse);
   }
 
   protected override handle(message: AdmissionMessage): void {
     switch (message.kind) {
       case "types":
-        this.submission.setTypes(message.types);
+        this.submission.setMachineTypes(message.types);
         break;
       case "task counts":
         this.taskCounts.update(message.jobs);
@@ -91,10 +92,10 @@
     }
   }
 
-  private respond(work: Promise<ServerResponse>, reply: Reply): void {
-    work.then(reply, (error: unknown) => {
-      log.error(`admission: ${describeException(error)}`);
-      reply(internalError);
+  private respond(pendingResponse: Promise<ServerResponse>, reply: Reply): void {
+    pendingResponse.then(reply, (error: unknown) => {
+      log.error(`admission: user request failed: ${describeException(error)}`);
+      reply(internalErrorResponse);
     });
   }
 }
--- a/src/coordination/admission/cancellation.ts
+++ b/src/coordination/admission/cancellation.ts
@@ -1,4 +1,4 @@
-/** Cancels jobs. "Cancelled" is committed before it is said (rule `ran_cancelled`). */
+/** Cancels jobs. A cancellation is committed to the state store before it is confirmed (rule `ran_cancelled`). */
 import { encodeHead, keys, type JobHead } from "../../bookkeeping/records.js";
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import { isJobId } from "../../protocol/users.js";
@@ -9,13 +9,13 @@
 import { CHANGE_TIMEOUT_MS } from "./timeouts.js";
 import {
   jobPhaseResponse,
-  noSuchJob,
-  retryLater,
-  stateStoreRefusesWrites,
-  stateStoreSilent,
+  noSuchJobResponse,
+  retryLaterResponse,
+  stateStoreRefusedWrite,
+  stateStoreUnavailable,
 } from "./userResponses.js";
 
-/** What a cancellation uses. */
+/** Dependencies of `Cancellation`. */
 export interface CancellationContext {
   stateStore: StateStoreClient;
   clock: Clock;
@@ -23,32 +23,33 @@
   phases: JobPhases;
 }
 
-/** A write that meets another one is tried so often in all. */
+/** Compare-and-swap attempts for one cancellation, the first included, when writes conflict. */
 const MAX_ATTEMPTS = 4;
 
-/** Takes cancellations; one of a job that is over or cancelled changes nothing. */
+/** Handles cancellation requests. Cancelling a finished or already cancelled job changes nothing. */
 export class Cancellation {
   constructor(private readonly context: CancellationContext) {}
 
   async cancel(id: string): Promise<ServerResponse> {
-    if (!isJobId(id)) return noSuchJob;
+    if (!isJobId(id)) return noSuchJobResponse;
     const { stateStore, clock, lookup, phases } = this.context;
     const deadlineMs = clock.nowMs() + CHANGE_TIMEOUT_MS;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const job = await lookup.lookUp(id, deadlineMs);
-      if (job.kind === "failed") return stateStoreSilent();
-      if (job.kind === "absent") return noSuchJob;
-      if (job.kind === "final" || job.head.cancelledAt !== null) return jobPhaseResponse(id, phases.of(job));
+      if (job.kind === "failed") return stateStoreUnavailable();
+      if (job.kind === "absent") return noSuchJobResponse;
+      if (job.kind === "final" || job.head.cancelledAt !== null)
+        return jobPhaseResponse(id, phases.phaseOf(job));
       const head: JobHead = { ...job.head, cancelledAt: clock.wallTime() };
       const outcome = await stateStore.compareAndSwap(
         [{ key: keys.head(id), version: job.version }],
         [{ put: keys.head(id), value: encodeHead(head) }],
         deadlineMs,
       );
-      if (outcome.kind === "ok") return jobPhaseResponse(id, phases.of({ ...job, head }));
-      if (outcome.kind === "refused") return stateStoreRefusesWrites();
-      // A conflict or no response: look again.
+      if (outcome.kind === "ok") return jobPhaseResponse(id, phases.phaseOf({ ...job, head }));
+      if (outcome.kind === "refused") return stateStoreRefusedWrite();
+      // After a conflict or an unknown outcome, the job is read again.
     }
-    return retryLater("the job keeps changing");
+    return retryLaterResponse("the job keeps changing");
   }
 }
--- a/src/coordination/admission/finalRecordCache.ts
+++ b/src/coordination/admission/finalRecordCache.ts
@@ -1,9 +1,9 @@
-/** Final records that have been read. They never change, so they may be remembered (rule `went_back`). */
+/** A cache of finished jobs' records. Final records never change, so cached ones stay valid (rule `went_back`). */
 import type { FinalRecord } from "../../bookkeeping/records.js";
 
-const MAX_RECORDS = 20_000;
+const MAX_CACHED_RECORDS = 20_000;
 
-/** Remembers the latest final records. */
+/** Keeps a bounded number of final records; the one that was added first is evicted first. */
 export class FinalRecordCache {
   private readonly records = new Map<string, FinalRecord>();
 
@@ -13,6 +13,6 @@
 
   add(id: string, record: FinalRecord): void {
     this.records.set(id, record);
-    if (this.records.size > MAX_RECORDS) this.records.delete(this.records.keys().next().value!);
+    if (this.records.size > MAX_CACHED_RECORDS) this.records.delete(this.records.keys().next().value!);
   }
 }
--- a/src/coordination/admission/jobPhases.ts
+++ b/src/coordination/admission/jobPhases.ts
@@ -1,21 +1,21 @@
-/** What users are told of a job's phase. */
+/** The phase of a job that is reported to users. */
 import type { FinalRecord, JobHead } from "../../bookkeeping/records.js";
 import type { JobPhase } from "../../protocol/users.js";
 import type { KnownJob } from "./jobLookup.js";
 import type { TaskCountTable } from "./taskCountTable.js";
 
-/** Derives the phase of a job from its record and its published task counts. */
+/** Derives the phase of a job from its record and from the task counts that the leader publishes. */
 export class JobPhases {
   constructor(
     private readonly taskCounts: TaskCountTable,
     /**
-     * Called before a user is told that a job is cancelled whose tasks may still be somewhere: the leader has to know of
-     * it (rule `ran_cancelled`). Of a job that is over nothing can be anywhere, so nobody need know.
+     * Called before the cancellation of a live job is reported to a user. Its tasks may still run, so the leader has to
+     * learn of the confirmation (rule `ran_cancelled`); a finished job has no tasks left, and needs no such report.
      */
     private readonly onCancellationConfirmed: (id: string, cancelledAt: Date) => void,
   ) {}
 
-  of(job: KnownJob): JobPhase {
+  phaseOf(job: KnownJob): JobPhase {
     return job.kind === "final" ? finalPhase(job.record) : this.livePhase(job.head);
   }
 
@@ -24,7 +24,7 @@
       this.onCancellationConfirmed(spec.id, cancelledAt);
       return "cancelled";
     }
-    return this.taskCounts.of(spec.id).running > 0 ? "running" : "pending";
+    return this.taskCounts.get(spec.id).running > 0 ? "running" : "pending";
   }
 }
 
--- a/src/coordination/admission/rejectionReason.ts
+++ b/src/coordination/admission/rejectionReason.ts
@@ -1,19 +1,19 @@
-/** Whether a job could ever run on the cloud's machine types within its team's limits. Pure. */
+/** Decides whether a job could ever run on the cloud's machine types within its team's limits. Pure functions. */
 import type { JobSpec, MachineType } from "../../protocol/model.js";
 import type { Team } from "../../settings/platform.js";
 
-/** Sums of decimal fractions may be wrong by this much. */
-const ROUNDING_SLACK = 1e-6;
+/** Tolerance, in cores or GPUs, for floating-point rounding when a job's requests are compared with a limit. */
+const ROUNDING_TOLERANCE = 1e-6;
 
-/** Why the job can never run, in words for its user; null when it can. */
+/** The reason why the job can never run, as a message for its user; null if it can run. */
 export function rejectionReason(spec: JobSpec, types: MachineType[], teams: Team[]): string | null {
   const team = teams.find((candidate) => candidate.name === spec.team);
   if (!team) return `unknown team ${spec.team}`;
   const fitting = types.filter((type) => fitsType(spec, type));
   if (fitting.length === 0) return "a task fits no allowed machine type";
-  if (needsSeveralZones(spec) && !maySpread(spec, fitting))
+  if (needsSeveralZones(spec) && !canUseSeveralZones(spec, fitting))
     return "its tasks must run in different zones, and may not";
-  return quotaExcess(spec, team);
+  return quotaRejectionReason(spec, team);
 }
 
 function fitsType(spec: JobSpec, type: MachineType): boolean {
@@ -26,22 +26,22 @@
   );
 }
 
-/** All tasks of a gang or a service run at once, and when they are spread, one zone takes half of them at most. */
+/** All tasks of a gang or a service run at once; if they are spread, at most half of them may share a zone. */
 function needsSeveralZones(spec: JobSpec): boolean {
   return spec.kind !== "array" && spec.tasks > 1 && spec.spread;
 }
 
-function maySpread(spec: JobSpec, fitting: MachineType[]): boolean {
+function canUseSeveralZones(spec: JobSpec, fitting: MachineType[]): boolean {
   const zones = new Set(spec.zone === null ? fitting.flatMap((type) => type.zones) : [spec.zone]);
   return !spec.oneZone && zones.size >= 2;
 }
 
-/** An array may run one task after the other; a gang or a service needs room for all of its tasks. */
-function quotaExcess(spec: JobSpec, team: Team): string | null {
+/** An array may run its tasks one after another; a gang or a service needs quota for all of its tasks at once. */
+function quotaRejectionReason(spec: JobSpec, team: Team): string | null {
   const tasksAtOnce = spec.kind === "array" ? 1 : spec.tasks;
-  if (spec.cpus * tasksAtOnce > team.maxCpus + ROUNDING_SLACK)
+  if (spec.cpus * tasksAtOnce > team.maxCpus + ROUNDING_TOLERANCE)
     return `needs more cpus than ${team.name} may use`;
-  if (spec.gpus * tasksAtOnce > team.maxGpus + ROUNDING_SLACK)
+  if (spec.gpus * tasksAtOnce > team.maxGpus + ROUNDING_TOLERANCE)
     return `needs more gpus than ${team.name} may use`;
   return null;
 }
--- a/src/coordination/admission/submission.ts
+++ b/src/coordination/admission/submission.ts
@@ -1,4 +1,4 @@
-/** Accepts jobs. "Accepted" is committed before it is said (rules `forgotten`, `invented`). */
+/** Accepts jobs. An acceptance is committed to the state store before it is confirmed (rules `forgotten`, `invented`). */
 import { encodeHead, keys } from "../../bookkeeping/records.js";
 import type { CompareAndSwapOutcome, StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { MachineType } from "../../protocol/model.js";
@@ -11,65 +11,74 @@
 import type { JobPhases } from "./jobPhases.js";
 import { rejectionReason } from "./rejectionReason.js";
 import { CHANGE_TIMEOUT_MS } from "./timeouts.js";
-import { jobPhaseResponse, retryLater, stateStoreRefusesWrites, stateStoreSilent } from "./userResponses.js";
+import {
+  jobPhaseResponse,
+  retryLaterResponse,
+  stateStoreRefusedWrite,
+  stateStoreUnavailable,
+} from "./userResponses.js";
 
-/** What a submission uses. */
+/** Dependencies and settings of `Submission`. */
 export interface SubmissionContext {
   stateStore: StateStoreClient;
   clock: Clock;
   teams: Team[];
-  /** The longest value that the state store takes. */
-  valueBytes: number;
+  /** Maximum size of a value in the state store, in bytes. */
+  maxValueBytes: number;
   finalRecords: FinalRecordCache;
   lookup: JobLookup;
   phases: JobPhases;
 }
 
-/** After a write whose outcome is unknown, there is always this much time to look at what has come of it. */
-const MIN_LOOKUP_MS = 300;
+/** Minimum time for the lookup after a write that conflicted or has an unknown outcome, even past the deadline. */
+const MIN_LOOKUP_TIMEOUT_MS = 300;
 
-/** Takes submissions. The same submission may come any number of times: the job is accepted once. */
+/** Handles submissions. Submitting is idempotent: a job that is submitted repeatedly is accepted once. */
 export class Submission {
-  private types: MachineType[] | null = null;
+  private machineTypes: MachineType[] | null = null;
 
   constructor(private readonly context: SubmissionContext) {}
 
-  /** The cloud's machine types; before they are known no new job is accepted. */
-  setTypes(types: MachineType[]): void {
-    this.types = types;
+  /** Sets the cloud's machine types. No new job is accepted before they are known. */
+  setMachineTypes(types: MachineType[]): void {
+    this.machineTypes = types;
   }
 
   async submit(value: unknown): Promise<ServerResponse> {
     const decoded = decodeSubmission(value);
     if (decoded.kind === "malformed") return { status: 400, body: { error: decoded.reason } };
     const { spec } = decoded;
-    const { clock, finalRecords, lookup, teams, valueBytes } = this.context;
+    const { clock, finalRecords, lookup, teams, maxValueBytes } = this.context;
     const deadlineMs = clock.nowMs() + CHANGE_TIMEOUT_MS;
     const record = finalRecords.get(spec.id);
-    if (record) return this.known(spec.id, { kind: "final", record });
-    if (!this.types) {
-      // A job that was accepted before must not be refused now; a new one can't be judged without knowing types.
+    if (record) return this.knownJobResponse(spec.id, { kind: "final", record });
+    if (!this.machineTypes) {
+      // A job that was accepted earlier must not be rejected now; a new one can't be checked without machine types.
       const job = await lookup.lookUp(spec.id, deadlineMs);
-      return isKnown(job) ? this.known(spec.id, job) : retryLater("machine types are not known yet");
+      return isKnown(job)
+        ? this.knownJobResponse(spec.id, job)
+        : retryLaterResponse("machine types are not known yet");
     }
-    const reason = rejectionReason(spec, this.types, teams);
+    const reason = rejectionReason(spec, this.machineTypes, teams);
     const head = encodeHead({ spec, acceptedAt: clock.wallTime(), cancelledAt: null });
-    const isTooLong = Buffer.byteLength(JSON.stringify(head)) > valueBytes;
+    const isTooLong = Buffer.byteLength(JSON.stringify(head)) > maxValueBytes;
     if (reason !== null || isTooLong) {
-      // Settings may have changed since it was accepted: what was accepted stays so (rule `forgotten`).
+      // The job may have been accepted under earlier settings, and an accepted job stays accepted (rule `forgotten`).
       const job = await lookup.lookUp(spec.id, deadlineMs);
-      if (job.kind === "failed") return stateStoreSilent();
-      return isKnown(job) ? this.known(spec.id, job) : rejected(reason);
+      if (job.kind === "failed") return stateStoreUnavailable();
+      return isKnown(job) ? this.knownJobResponse(spec.id, job) : rejectionResponse(reason);
     }
     const outcome = await this.writeHead(spec.id, head, deadlineMs);
     if (outcome.kind === "ok") return { status: 201, body: encodeJobPhase(spec.id, "pending") };
-    if (outcome.kind === "refused") return stateStoreRefusesWrites();
-    // Known already, or the outcome is unknown: only reading tells.
-    const job = await lookup.lookUp(spec.id, Math.max(deadlineMs, clock.nowMs() + MIN_LOOKUP_MS));
-    return isKnown(job) ? this.known(spec.id, job) : retryLater("the outcome is not known yet");
+    if (outcome.kind === "refused") return stateStoreRefusedWrite();
+    // The job exists already, or the outcome of the write is unknown; a read decides.
+    const job = await lookup.lookUp(spec.id, Math.max(deadlineMs, clock.nowMs() + MIN_LOOKUP_TIMEOUT_MS));
+    return isKnown(job)
+      ? this.knownJobResponse(spec.id, job)
+      : retryLaterResponse("the outcome is not known yet");
   }
 
-  /** Writes the head of a job that is neither live nor over. */
+  /** Writes the job's head on the condition that the job is neither live nor finished. */
   private writeHead(id: string, head: unknown, deadlineMs: number): Promise<CompareAndSwapOutcome> {
     const conditions = [
       { key: keys.head(id), version: 0 },
@@ -79,12 +88,12 @@
     return this.context.stateStore.compareAndSwap(conditions, changes, deadlineMs);
   }
 
-  private known(id: string, job: KnownJob): ServerResponse {
-    return jobPhaseResponse(id, this.context.phases.of(job));
+  private knownJobResponse(id: string, job: KnownJob): ServerResponse {
+    return jobPhaseResponse(id, this.context.phases.phaseOf(job));
   }
 }
 
-function rejected(reason: string | null): ServerResponse {
+function rejectionResponse(reason: string | null): ServerResponse {
   return reason !== null
     ? { status: 422, body: { error: reason } }
     : { status: 400, body: { error: "the description is too long to be kept" } };
--- a/src/coordination/admission/taskCountTable.ts
+++ b/src/coordination/admission/taskCountTable.ts
@@ -1,9 +1,12 @@
-/** How far live jobs are, as the leader publishes it: for display only. */
+/** The progress of live jobs as published by the leader, for display only. */
 import type { TaskCounts } from "../../protocol/peers/messages.js";
 
 const MAX_JOBS = 5000;
 
-/** The latest task counts of live jobs. Bounded: nobody says here that a job is over, so the oldest make room. */
+/**
+ * The latest task counts of live jobs. No message reports that a job has finished, so the table is bounded: the job that was
+ * added first is evicted first.
+ */
 export class TaskCountTable {
   private readonly counts = new Map<string, TaskCounts>();
 
@@ -12,12 +15,12 @@
     while (this.counts.size > MAX_JOBS) this.counts.delete(this.counts.keys().next().value!);
   }
 
-  /** Zeros for a job of which nothing has been published. */
-  of(id: string): { done: number; running: number } {
+  /** The job's task counts; zeros if none have been published. */
+  get(id: string): { done: number; running: number } {
     return this.counts.get(id) ?? { done: 0, running: 0 };
   }
 
-  /** The job is over. */
+  /** Removes a finished job. */
   delete(id: string): void {
     this.counts.delete(id);
   }
--- a/src/coordination/admission/timeouts.ts
+++ b/src/coordination/admission/timeouts.ts
@@ -1,6 +1,6 @@
-/** How long a user's request may take at the state store. */
+/** Time limits for the state store accesses of users' requests. */
 
-/** A submission or a cancellation. */
+/** Timeout of a submission or a cancellation. */
 export const CHANGE_TIMEOUT_MS = 4200;
-/** A job's state: users poll, and the next poll comes soon. */
-export const STATUS_TIMEOUT_MS = 1700;
+/** Timeout of a status query; short, because users poll and the next query follows soon. */
+export const STATUS_QUERY_TIMEOUT_MS = 1700;
--- a/src/coordination/admission/userResponses.ts
+++ b/src/coordination/admission/userResponses.ts
@@ -1,38 +1,38 @@
-/** The responses that users get. */
+/** The HTTP responses to users' requests. */
 import { encodeJobPhase, type JobPhase } from "../../protocol/users.js";
 import type { ServerResponse } from "../../transport/httpServer.js";
 import { log } from "../../transport/log.js";
 
-/** A user may come back after this. */
-const RETRY_AFTER = { "Retry-After": "1" };
+/** Asks the user to retry after one second. */
+const RETRY_AFTER_HEADERS = { "Retry-After": "1" };
 
-/** No job of that id was ever accepted. */
-export const noSuchJob: ServerResponse = { status: 404, body: { error: "no such job" } };
+/** The response for a job ID that was never accepted. */
+export const noSuchJobResponse: ServerResponse = { status: 404, body: { error: "no such job" } };
 
-/** A fault of this program; the request may be repeated. */
-export const internalError: ServerResponse = {
+/** The response after an exception in the controller; the request may be repeated. */
+export const internalErrorResponse: ServerResponse = {
   status: 500,
   body: { error: "internal error" },
-  headers: RETRY_AFTER,
+  headers: RETRY_AFTER_HEADERS,
 };
 
-/** A job that is known, with its phase. */
+/** The response to a submission or cancellation of an existing job: its phase. */
 export function jobPhaseResponse(id: string, phase: JobPhase): ServerResponse {
   return { status: 200, body: encodeJobPhase(id, phase) };
 }
 
-/** Nothing can be said or done at present. */
-export function retryLater(reason: string): ServerResponse {
-  log.debug(() => `asked a user to retry later: ${reason}`);
-  return { status: 503, body: { error: reason }, headers: RETRY_AFTER };
+/** The response to a request that can't be decided at present. */
+export function retryLaterResponse(reason: string): ServerResponse {
+  log.debug(() => `responded 503 to a user request: ${reason}`);
+  return { status: 503, body: { error: reason }, headers: RETRY_AFTER_HEADERS };
 }
 
-/** A lookup has failed. */
-export function stateStoreSilent(): ServerResponse {
-  return retryLater("the state service does not answer");
+/** The response after a lookup in the state store has failed. */
+export function stateStoreUnavailable(): ServerResponse {
+  return retryLaterResponse("the state service does not answer");
 }
 
-/** The state store refused a write: it has not been carried out. */
-export function stateStoreRefusesWrites(): ServerResponse {
-  return retryLater("the state service does not take changes");
+/** The response after the state store has refused a write, which was therefore not executed. */
+export function stateStoreRefusedWrite(): ServerResponse {
+  return retryLaterResponse("the state service does not take changes");
 }
--- a/src/coordination/consolidation/consolidationSnapshot.ts
+++ b/src/coordination/consolidation/consolidationSnapshot.ts
@@ -2,7 +2,7 @@
 import type { Attempt, Job, Machine } from "../../bookkeeping/workload.js";
 import type { Resources } from "../../bookkeeping/resources.js";
 import type { MachineType } from "../../protocol/model.js";
-import type { Operator } from "../../settings/operator.js";
+import type { OperatorSettings } from "../../settings/operator.js";
 import { allowsPlacement, zoneTaskCapacity } from "../scheduling/fitting.js";
 import type { JobRegistry } from "../term/jobRegistry.js";
 import type { MachineRegistry } from "../term/machineRegistry.js";
@@ -17,7 +17,7 @@
 export interface ConsolidationSnapshotContext {
   jobs: JobRegistry;
   machines: MachineRegistry;
-  operator: Operator;
+  operator: OperatorSettings;
   /** Workers' time between heartbeats, in seconds. */
   heartbeatS: number;
 }
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -1,6 +1,6 @@
 /** Issues the grants for other controllers to acknowledge heartbeats, and the limits for the leader's own process. */
 import type { Grant, HeartbeatServerUpdate } from "../../protocol/peers/messages.js";
-import type { Platform } from "../../settings/platform.js";
+import type { PlatformSettings } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
 import { MIN_ZONE_LEASE_MS } from "../term/acknowledgementLimit.js";
 import type { Attempts } from "../term/attempts.js";
@@ -21,7 +21,7 @@
 /** The parts of the term and of the controller that a grant issuer depends on. */
 export interface GrantIssuerContext {
   clock: Clock;
-  platform: Platform;
+  platform: PlatformSettings;
   lease: TermLease;
   jobs: JobRegistry;
   attempts: Attempts;
--- a/src/coordination/leader/buildTermComponents.ts
+++ b/src/coordination/leader/buildTermComponents.ts
@@ -143,7 +143,7 @@
     queue: shared.writes,
     jobRecords,
     singletons,
-    transactionChanges: options.platform.stateStoreTransactionChanges,
+    transactionChanges: options.platform.stateStoreMaxTransactionChanges,
   });
   return { singletons, jobRecords, watcher, loader, writer };
 }
--- a/src/coordination/leader/leaderOptions.ts
+++ b/src/coordination/leader/leaderOptions.ts
@@ -2,16 +2,16 @@
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
 import type { CommandDelivery, MachineType } from "../../protocol/model.js";
 import type { Grant, TaskCounts } from "../../protocol/peers/messages.js";
-import type { Operator } from "../../settings/operator.js";
-import type { Platform } from "../../settings/platform.js";
+import type { OperatorSettings } from "../../settings/operator.js";
+import type { PlatformSettings } from "../../settings/platform.js";
 import type { Clock } from "../../transport/clock.js";
 import type { HeartbeatServerLimits } from "../heartbeats/acknowledgementRights.js";
 import type { CloudClient } from "../provisioning/cloudClient.js";
 
 /** The dependencies that the controller passes to its leader. */
 export interface LeaderOptions {
-  platform: Platform;
-  operator: Operator;
+  platform: PlatformSettings;
+  operator: OperatorSettings;
   stateStore: StateStoreClient;
   clock: Clock;
   cloud: CloudClient;
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -145,7 +145,8 @@
   }
 
   private requestMachineList(nowMs: number): void {
-    if (nowMs - this.lastListMs <= Math.max(LIST_INTERVAL_MS, this.options.platform.listLagS * 1000)) return;
+    if (nowMs - this.lastListMs <= Math.max(LIST_INTERVAL_MS, this.options.platform.machineListLagS * 1000))
+      return;
     this.lastListMs = nowMs;
     this.options.cloud.tell({ kind: "list" });
   }
--- a/src/coordination/leader/termComponents.ts
+++ b/src/coordination/leader/termComponents.ts
@@ -1,7 +1,7 @@
 /** The components of one leader's term, grouped by purpose and built by `buildTermComponents`. */
 import type { QuotaUsage } from "../../bookkeeping/quotaUsage.js";
 import type { StateStoreClient } from "../../bookkeeping/stateStoreClient.js";
-import type { Operator } from "../../settings/operator.js";
+import type { OperatorSettings } from "../../settings/operator.js";
 import type { Clock } from "../../transport/clock.js";
 import type { CommandDeliveries } from "../commands/commandDeliveries.js";
 import type { ConsolidationRounds } from "../consolidation/consolidationRounds.js";
@@ -37,7 +37,7 @@
   tell: (message: TermMessage) => void;
   /** Called when a term later than the given one has begun. */
   onDeposed: (term: number) => void;
-  operator: Operator;
+  operator: OperatorSettings;
   /** Interval between two heartbeats of a worker, in seconds. */
   heartbeatS: number;
   /** Duration of a worker's lease, in seconds. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** The command line: finds the command, and turns its outcome into an exit code. Each command is a file in `cli/`. */
+/** Entry point: runs the command that the command line names and sets the exit code. `cli/` has a file per command. */
 import { parseArguments, UsageError } from "./cli/arguments.js";
 import { check } from "./cli/check.js";
 import { ExitCode } from "./cli/exitCode.js";
@@ -7,7 +7,7 @@
 import { version } from "./cli/version.js";
 import { SettingsError } from "./settings/settingsError.js";
 
-/** Runs the command that the arguments name; null: the process goes on until it is killed. */
+/** Runs the command that the arguments name. Returns its exit code, or null if the process keeps running. */
 async function run(argv: string[]): Promise<ExitCode | null> {
   const options = parseArguments(argv);
   if (options.help) {
@@ -26,7 +26,7 @@
     case "check":
       return check(operands, options);
     case "job": {
-      // Loaded only here: the start of a controller doesn't pay for it.
+      // This command is loaded on demand, so that it does not slow the start of a controller.
       const { job } = await import("./cli/job.js");
       return job(operands, options);
     }
@@ -37,13 +37,13 @@
   }
 }
 
-/** Says on standard error why the command failed, and ends the process. */
+/** Reports a failed command on standard error and ends the process. */
 function fail(error: unknown): never {
   const message = error instanceof Error ? error.message : String(error);
   const hint = error instanceof UsageError ? "Try lichenturn --help.\n" : "";
   process.stderr.write(`lichenturn: ${message}\n${hint}`);
-  const isUsersMistake = error instanceof UsageError || error instanceof SettingsError;
-  process.exit(isUsersMistake ? ExitCode.usage : ExitCode.failed);
+  const isUserError = error instanceof UsageError || error instanceof SettingsError;
+  process.exit(isUserError ? ExitCode.usage : ExitCode.failed);
 }
 
 run(process.argv.slice(2)).then((exitCode) => {
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -1,30 +1,33 @@
-/** The operators' own settings: an optional XML file over defaults. `docs/settings.md` describes each for operators. */
+/** The operators' settings: defaults, overridden by an optional XML file. `docs/settings.md` documents each setting. */
 import type { SaxesTagPlain } from "saxes";
 import { SettingsError } from "./settingsError.js";
 import { readSettingsFile } from "./settingsFile.js";
 
-/** The operators' settings. Durations are in seconds, loads are shares of a machine's capacity (1: all of it). */
-export interface Operator {
-  /** Load from which a machine belongs to the inner ring; half of it bounds the outer ring. */
+/** The operators' settings. Durations are in seconds; loads are shares of a machine's capacity (1 is full capacity). */
+export interface OperatorSettings {
+  /** Load from which a machine is highly loaded (the paper's inner ring); below half of it, it is lightly loaded. */
   highLoadShare: number;
-  /** Measured load above which a machine is relieved. Never below `highLoadShare`. */
+  /** Measured load above which a machine is overloaded and a task is moved off it. At least `highLoadShare`. */
   overloadShare: number;
-  /** Time between two rounds of consolidation. */
+  /** Interval between two rounds of consolidation. */
   roundIntervalS: number;
-  /** Moves of tasks in one round of consolidation. */
+  /** Maximum number of task moves in one round of consolidation. */
   maxMovesPerRound: number;
-  /** A machine with nothing on it is returned to the cloud after this. */
+  /** Idle time after which a machine without tasks is scaled in. */
   idleKeepS: number;
-  /** Silence after which nothing new is placed on a machine. */
+  /** Time without a heartbeat after which no new task is placed on a machine. */
   suspectS: number;
-  /** Silence after which a machine is returned to the cloud. */
+  /** Time without a heartbeat after which a machine is scaled in; the workers' lease plus a margin applies if longer. */
   abandonS: number;
-  /** The same for a single spot machine with work on it: its cloud has probably taken it. */
+  /**
+   * Time without a heartbeat after which a spot machine with tasks is scaled in, if no outage of its zone or controller
+   * explains the silence: the cloud has probably interrupted it.
+   */
   spotSilentS: number;
 }
 
-/** The settings without a file. */
-export const operatorDefaults: Operator = {
+/** The settings that apply without a file. */
+export const defaultOperatorSettings: OperatorSettings = {
   highLoadShare: 0.8,
   overloadShare: 0.89,
   roundIntervalS: 5,
@@ -35,17 +38,17 @@
   spotSilentS: 7,
 };
 
-/** Any time above this, in seconds, is a slip of the pen. */
+/** Upper bound of durations; a longer one is a typing mistake. */
 const MAX_TIME_S = 100_000;
 
-/** An attribute of the file: the setting that it gives, and the bounds of its value. */
+/** The setting that an attribute of the file sets, and the inclusive bounds of its value. */
 interface Attribute {
-  field: keyof Operator;
+  field: keyof OperatorSettings;
   min: number;
   max: number;
 }
 
-/** The file's attributes by name, in the order in which messages list them. */
+/** The file's attributes by name, in the order in which error messages list them. */
 const ATTRIBUTES: ReadonlyMap<string, Attribute> = new Map([
   ["degrad", { field: "highLoadShare", min: 0.05, max: 1 }],
   ["violate", { field: "overloadShare", min: 0.05, max: 10 }],
@@ -62,17 +65,17 @@
 const FILE_HINT =
   "--operator takes the operators' settings (XML); deploy/example-operator.xml is an example.";
 
-/** Gathers settings and mistakes while the file's elements come in. */
-class OperatorReader {
-  readonly operator: Operator = { ...operatorDefaults };
-  readonly mistakes: string[] = [];
-  private readonly given = new Set<string>();
+/** Collects settings and errors while the file is parsed. */
+class OperatorSettingsReader {
+  readonly settings: OperatorSettings = { ...defaultOperatorSettings };
+  readonly errors: string[] = [];
+  private readonly seenAttributes = new Set<string>();
   private readonly path: string[] = [];
 
   openElement(tag: SaxesTagPlain): void {
     this.path.push(tag.name);
     if (this.path.length === 1 && tag.name !== ROOT_ELEMENT)
-      this.mistakes.push(`/${tag.name}: the root must be ${ROOT_ELEMENT}`);
+      this.errors.push(`/${tag.name}: the root must be ${ROOT_ELEMENT}`);
     for (const [name, value] of Object.entries(tag.attributes)) this.readAttribute(name, value);
   }
 
@@ -80,42 +83,42 @@
     this.path.pop();
   }
 
-  /** What no single attribute shows to be wrong. */
-  checkTogether(): void {
-    const { overloadShare, highLoadShare } = this.operator;
+  /** Checks constraints between settings. */
+  checkConsistency(): void {
+    const { overloadShare, highLoadShare } = this.settings;
     if (overloadShare < highLoadShare)
-      this.mistakes.push(`violate = ${overloadShare}: must not be below degrad = ${highLoadShare}`);
+      this.errors.push(`violate = ${overloadShare}: must not be below degrad = ${highLoadShare}`);
   }
 
   private readAttribute(name: string, value: string): void {
     const problem = this.setAttribute(name, value);
     if (problem !== null)
-      this.mistakes.push(`/${this.path.join("/")}/@${name} = ${JSON.stringify(value)}: ${problem}`);
+      this.errors.push(`/${this.path.join("/")}/@${name} = ${JSON.stringify(value)}: ${problem}`);
   }
 
-  /** What is wrong with the attribute; null when it has been set. */
+  /** Sets the attribute's setting; returns null, or what is wrong with the attribute. */
   private setAttribute(name: string, text: string): string | null {
     const attribute = ATTRIBUTES.get(name);
-    if (!attribute) return `no such setting (there are ${[...ATTRIBUTES.keys()].join(", ")})`;
-    if (this.given.has(name)) return "given twice";
-    this.given.add(name);
+    if (!attribute) return `unknown setting (known settings: ${[...ATTRIBUTES.keys()].join(", ")})`;
+    if (this.seenAttributes.has(name)) return "set more than once";
+    this.seenAttributes.add(name);
     const { field, min, max } = attribute;
     const value = text.trim() === "" ? NaN : Number(text);
     if (!(value >= min && value <= max)) return `must be a number from ${min} to ${max}`;
-    this.operator[field] = value;
+    this.settings[field] = value;
     return null;
   }
 }
 
 /**
- * Reads `<lichenturn><magnet degrad="0.8"/>…</lichenturn>`: elements group settings for the reader's sake,
- * every attribute is one setting, and each may be given once.
- * @throws SettingsError when the text is not XML, or with a line for each mistake.
+ * Parses `<lichenturn><magnet degrad="0.8"/>…</lichenturn>`. Each attribute is one setting, which may be set once; elements
+ * only group settings and have no meaning of their own.
+ * @throws SettingsError if the text is not XML, or with one line for each invalid setting.
  */
-export async function readOperator(text: string): Promise<Operator> {
-  // Loaded only when there is such a file: a start's processor time is scarce.
+export async function parseOperatorSettings(text: string): Promise<OperatorSettings> {
+  // The parser is loaded only if there is a file, because processor time is scarce during a start.
   const { SaxesParser } = await import("saxes");
-  const reader = new OperatorReader();
+  const reader = new OperatorSettingsReader();
   const parser = new SaxesParser();
   parser.on("error", (error) => {
     throw new SettingsError(`not XML: ${error.message}`);
@@ -123,13 +126,13 @@
   parser.on("opentag", (tag: SaxesTagPlain) => reader.openElement(tag));
   parser.on("closetag", () => reader.closeElement());
   parser.write(text).close();
-  reader.checkTogether();
-  if (reader.mistakes.length > 0) throw new SettingsError(reader.mistakes.join("\n"));
-  return reader.operator;
+  reader.checkConsistency();
+  if (reader.errors.length > 0) throw new SettingsError(reader.errors.join("\n"));
+  return reader.settings;
 }
 
-/** Reads the operators' settings from a file; the defaults when there is none. */
-export async function loadOperator(path: string | undefined): Promise<Operator> {
-  if (path === undefined) return { ...operatorDefaults };
-  return readOperator(readSettingsFile(path, FILE_HINT));
+/** Loads the operators' settings from a file; returns the defaults if no path is given. */
+export async function loadOperatorSettings(path: string | undefined): Promise<OperatorSettings> {
+  if (path === undefined) return { ...defaultOperatorSettings };
+  return parseOperatorSettings(readSettingsFile(path, FILE_HINT));
 }
--- a/src/settings/settingsError.ts
+++ b/src/settings/settingsError.ts
@@ -1,2 +1,2 @@
-/** Everything wrong with a settings file: one line a mistake, each with the setting's path, its value and the reason. */
+/** Invalid settings. The message has one line for each error, with the setting's path, its value and the expectation. */
 export class SettingsError extends Error {}
--- a/src/settings/settingsFile.ts
+++ b/src/settings/settingsFile.ts
@@ -1,11 +1,11 @@
-/** Reads a settings file. */
+/** Reads a settings file and turns a failure into a `SettingsError`. */
 import { SettingsError } from "./settingsError.js";
 import { readTextFile, UnreadableFileError } from "./textFile.js";
 
 /**
- * The file's text.
- * @param hint What the command line expects there, as a sentence; it ends the message of an error.
- * @throws SettingsError in one line: the path as given, the reason, the hint.
+ * Returns the file's text.
+ * @param hint A sentence on the file that the option expects, appended to the error message.
+ * @throws SettingsError with one line: the path as given, the reason and the hint.
  */
 export function readSettingsFile(path: string, hint: string): string {
   try {
--- a/src/settings/tableReader.ts
+++ b/src/settings/tableReader.ts
@@ -1,8 +1,8 @@
-/** Reads the fields of a TOML table one by one, with their types and bounds, and gathers what is wrong with them. */
+/** Reads typed and bounded fields from a TOML table and collects validation errors. */
 
 type Table = Record<string, unknown>;
 
-/** The bounds of a number, both included, and its value when it is missing (without one it is required). */
+/** The inclusive bounds of a number, and the fallback for a missing one; without a fallback the number is required. */
 export interface NumberBounds {
   min: number;
   max: number;
@@ -12,20 +12,20 @@
 const MAX_PORT = 65_535;
 
 /**
- * One table of a settings file. A field that is missing or wrong is added to `mistakes`, which all tables of a file
- * share, with its full path; the reader goes on with a stand-in, so that one run names every mistake.
+ * Reads one table of a settings file. A missing or invalid field adds an error with its full path to `errors`, which all
+ * tables of a file share, and yields a placeholder value, so that one run reports every error.
  */
 export class TableReader {
   private constructor(
     private readonly table: Table,
-    /** Where the table is in the file; empty for the root. */
+    /** The table's path in the file; empty for the root table. */
     private readonly path: string,
-    private readonly mistakes: string[],
+    private readonly errors: string[],
   ) {}
 
-  /** The reader of a file's root table; mistakes anywhere in the file go to `mistakes`. */
-  static root(table: Table, mistakes: string[]): TableReader {
-    return new TableReader(table, "", mistakes);
+  /** Creates the reader of a file's root table; errors anywhere in the file are added to `errors`. */
+  static root(table: Table, errors: string[]): TableReader {
+    return new TableReader(table, "", errors);
   }
 
   has(key: string): boolean {
@@ -34,39 +34,39 @@
 
   child(key: string): TableReader {
     const value = this.table[key];
-    if (isObject(value) && !Array.isArray(value)) return this.reader(value, key);
-    this.mistake(key, value, "must be a table");
-    return this.reader({}, key);
+    if (isObject(value) && !Array.isArray(value)) return this.childReader(value, key);
+    this.addError(key, value, "must be a table");
+    return this.childReader({}, key);
   }
 
-  /** An array of tables; none when it is missing. */
+  /** The tables of an array of tables; empty if the array is missing. */
   children(key: string): TableReader[] {
     const value = this.table[key] ?? [];
     if (Array.isArray(value) && value.every(isObject))
-      return value.map((table, index) => this.reader(table, `${key}[${index}]`));
-    this.mistake(key, value, "must be an array of tables");
+      return value.map((table, index) => this.childReader(table, `${key}[${index}]`));
+    this.addError(key, value, "must be an array of tables");
     return [];
   }
 
   text(key: string): string {
     const value = this.table[key];
     if (isText(value)) return value;
-    this.mistake(key, value, "must be a non-empty string");
+    this.addError(key, value, "must be a non-empty string");
     return "";
   }
 
   texts(key: string): string[] {
     const value = this.table[key];
     if (Array.isArray(value) && value.length > 0 && value.every(isText)) return value;
-    this.mistake(key, value, "must be a non-empty array of strings");
+    this.addError(key, value, "must be a non-empty array of strings");
     return [];
   }
 
-  /** Host and port, such as `10.0.0.1:8080`. */
+  /** An address of host and port, such as `10.0.0.1:8080`. */
   address(key: string): string {
     const value = this.table[key];
     if (typeof value === "string" && isAddress(value)) return value;
-    this.mistake(key, value, "must be an address such as 10.0.0.1:8080");
+    this.addError(key, value, "must be an address such as 10.0.0.1:8080");
     return "";
   }
 
@@ -74,21 +74,21 @@
     const value = this.table[key] ?? fallback;
     const amount = typeof value === "bigint" ? Number(value) : value;
     if (typeof amount === "number" && amount >= min && amount <= max) return amount;
-    this.mistake(key, value, `must be a number from ${min} to ${max}`);
+    this.addError(key, value, `must be a number from ${min} to ${max}`);
     return min;
   }
 
-  private reader(table: Table, key: string): TableReader {
-    return new TableReader(table, this.pathOf(key), this.mistakes);
+  private childReader(table: Table, key: string): TableReader {
+    return new TableReader(table, this.pathOf(key), this.errors);
   }
 
   private pathOf(key: string): string {
     return this.path === "" ? key : `${this.path}.${key}`;
   }
 
-  private mistake(key: string, value: unknown, reason: string): void {
+  private addError(key: string, value: unknown, reason: string): void {
     const path = this.pathOf(key);
-    this.mistakes.push(
+    this.errors.push(
       value === undefined ? `${path}: missing, ${reason}` : `${path} = ${JSON.stringify(value)}: ${reason}`,
     );
   }
--- a/src/settings/textFile.ts
+++ b/src/settings/textFile.ts
@@ -1,24 +1,27 @@
-/** Reads a text file that a person has named, and says in words why it can't be read. */
+/** Reads a text file that the command line names, with a readable error message if that fails. */
 import { readFileSync } from "node:fs";
 
-/** The system's error codes in words. */
-const REASONS: Record<string, string> = {
+/** Error messages by the operating system's error code. */
+const REASONS_BY_CODE: Record<string, string> = {
   ENOENT: "no such file",
-  EISDIR: "is a folder, not a file",
-  ENOTDIR: "no such file: a part of its path is not a folder",
-  EACCES: "this user may not read it",
-  EPERM: "this user may not read it",
+  EISDIR: "is a directory, not a file",
+  ENOTDIR: "no such file: a part of its path is not a directory",
+  EACCES: "permission denied",
+  EPERM: "permission denied",
 };
 
-/** The message names the file as it was given, and the reason. */
+/** A file that can't be read. The message has the path as given and the reason. */
 export class UnreadableFileError extends Error {}
 
-/** @throws UnreadableFileError */
+/**
+ * Returns the file's text, decoded as UTF-8.
+ * @throws UnreadableFileError if the file can't be read.
+ */
 export function readTextFile(path: string): string {
   try {
     return readFileSync(path, "utf8");
   } catch (error) {
     const { code, message } = error as NodeJS.ErrnoException;
-    throw new UnreadableFileError(`${path}: ${REASONS[code ?? ""] ?? message}`, { cause: error });
+    throw new UnreadableFileError(`${path}: ${REASONS_BY_CODE[code ?? ""] ?? message}`, { cause: error });
   }
 }
--- a/test/consolidation.test.ts
+++ b/test/consolidation.test.ts
@@ -15,7 +15,7 @@
 import { planMerges } from "../src/coordination/consolidation/machineMerging.js";
 import { planOffloads } from "../src/coordination/consolidation/offloading.js";
 import type { JobSpec, MachineType } from "../src/protocol/model.js";
-import { operatorDefaults } from "../src/settings/operator.js";
+import { defaultOperatorSettings } from "../src/settings/operator.js";
 import { digestOf, seededRandom, type SeededRandom } from "./fakes/seededRandom.js";
 
 test("a load is low below half of the high-load share, medium below all of it, and high from there on", () => {
@@ -268,7 +268,7 @@
     const context = {
       jobs: new Map(),
       machines: new Map(machines.map((machine) => [machine.name, machine])),
-      operator: operatorDefaults,
+      operator: defaultOperatorSettings,
       heartbeatS: HEARTBEAT_S,
     } as unknown as ConsolidationSnapshotContext;
     const snapshot = takeSnapshot(context, NOW_MS);
--- a/test/docs.test.ts
+++ b/test/docs.test.ts
@@ -4,10 +4,10 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 
-/** The repository's root, from the compiled test. */
+/** The repository's root, relative to the compiled test. */
 const root = fileURLToPath(new URL("../../../", import.meta.url));
 
-/** Pages that speak of the code as it stands; `docs/history` speaks of earlier code. */
+/** The pages that describe the current code; those in `docs/history`, which describe earlier code, are left out. */
 function currentPages(): string[] {
   const inFolder = (folder: string): string[] =>
     readdirSync(join(root, folder))
@@ -16,7 +16,7 @@
   return ["README.md", ...inFolder("docs")];
 }
 
-/** Files that a page's code spans name, and the targets of its links, from the repository's root. */
+/** Paths of the files that a page's code spans name and that it links to, relative to the repository's root. */
 function namedFiles(page: string): string[] {
   const text = readFileSync(join(root, page), "utf8");
   const spans = [...text.matchAll(/`((?:src|test|deploy|docs)\/[\w./-]+)`/g)].map((match) => match[1]!);
@@ -26,8 +26,8 @@
   return [...spans, ...links];
 }
 
-/** Source files that a page names by their last folder and name only, such as `scheduling/queue.ts`. */
-function shortNames(page: string): string[] {
+/** Source files that a page names by their parent directory and name only, such as `scheduling/queue.ts`. */
+function shortSourceNames(page: string): string[] {
   const text = readFileSync(join(root, page), "utf8");
   return [...text.matchAll(/`((?:[\w-]+\/)?[\w-]+\.ts)`/g)].map((match) => match[1]!);
 }
@@ -36,10 +36,10 @@
   (name) => `/src/${name}`,
 );
 
-test("the pages name only files that exist", () => {
+test("pages refer only to files that exist", () => {
   for (const page of currentPages()) {
     for (const file of namedFiles(page)) assert.ok(existsSync(join(root, file)), `${page} names ${file}`);
-    for (const name of shortNames(page))
+    for (const name of shortSourceNames(page))
       assert.ok(
         sources.some((source) => source.endsWith(`/${name}`)),
         `${page} names ${name}`,
@@ -47,9 +47,9 @@
   }
 });
 
-test("every source module begins with a doc comment that says what it is for", () => {
+test("every source module begins with a doc comment", () => {
   const modules = sources.filter((name) => name.endsWith(".ts"));
-  assert.ok(modules.length > 100, "the sources are found");
+  assert.ok(modules.length > 100, "too few source modules were found");
   const bare = modules.filter((name) => !readFileSync(join(root, name), "utf8").startsWith("/**"));
   assert.deepEqual(bare, []);
 });
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -4,7 +4,7 @@
  */
 import { Controller } from "../../src/controller/controller.js";
 import { encodeHello } from "../../src/protocol/peers/codec.js";
-import { operatorDefaults } from "../../src/settings/operator.js";
+import { defaultOperatorSettings } from "../../src/settings/operator.js";
 import type { Clock } from "../../src/transport/clock.js";
 import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
@@ -40,7 +40,7 @@
     send: (from: ControllerProcess, peer: string, frame: Buffer) => boolean,
   ) {
     const caller = this.createCaller();
-    this.controller = new Controller(platformOf(name, options.region), operatorDefaults, {
+    this.controller = new Controller(platformOf(name, options.region), defaultOperatorSettings, {
       clock: this.createClock(),
       stateStoreHttp: caller,
       cloudHttp: caller,
@@ -187,7 +187,7 @@
       this.options.net.transmit(controllerAddress(name), controllerAddress(observer), () => {
         if (!process.isAlive) return;
         const others = this.running.filter((other) => other !== observer && other !== name);
-        process.controller.onPeerRefused(name, linksUp ?? others.length);
+        process.controller.onPeerConnectionRefused(name, linksUp ?? others.length);
       });
     }
   }
--- a/test/fakes/region.ts
+++ b/test/fakes/region.ts
@@ -1,5 +1,5 @@
 /** The region that the fakes stand for: machine types, teams' limits, addresses, and the settings of each controller. */
-import type { Platform } from "../../src/settings/platform.js";
+import type { PlatformSettings } from "../../src/settings/platform.js";
 import type { SimMachineType } from "./cloud.js";
 
 export const CLOUD_ADDRESS = "cloud:1";
@@ -54,7 +54,7 @@
   limits: TeamLimits;
   /** Each controller's zone, in the same order; "a" where none is given. */
   zones: string[];
-  objectives: Platform["objectives"];
+  objectives: PlatformSettings["objectives"];
 }
 
 /** Where that controller serves workers and users. */
@@ -66,9 +66,9 @@
 export function platformOf(
   name: string,
   { controllers, limits, zones, objectives }: RegionOptions,
-): Platform {
+): PlatformSettings {
   const zoneOf = (controller: string): string => zones[controllers.indexOf(controller)] ?? "a";
-  const team = (teamName: TeamName): Platform["teams"][number] => ({
+  const team = (teamName: TeamName): PlatformSettings["teams"][number] => ({
     name: teamName,
     guaranteedCpus: 8,
     maxCpus: limits[teamName].cpus,
@@ -98,10 +98,10 @@
     cancelS: CANCEL_S,
     stateStoreRps: 300,
     stateStoreWriteRps: 60,
-    stateStoreValueKb: 8,
-    stateStoreTransactionChanges: 20,
+    stateStoreMaxValueKib: 8,
+    stateStoreMaxTransactionChanges: 20,
     cloudRps: 10,
-    listLagS: LIST_LAG_S,
+    machineListLagS: LIST_LAG_S,
     maxConnections: 500,
   };
 }
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -4,7 +4,7 @@
  * order.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import type { Platform } from "../../src/settings/platform.js";
+import type { PlatformSettings } from "../../src/settings/platform.js";
 import { SimClock } from "./clock.js";
 import { SimCloud } from "./cloud.js";
 import { SimControllers } from "./controllers.js";
@@ -39,7 +39,7 @@
   /** Machines that the cloud has; 12 unless given. */
   capacity?: number;
   limits?: TeamLimits;
-  objectives?: Platform["objectives"];
+  objectives?: PlatformSettings["objectives"];
 }
 
 /** After a fault's end, this much is allowed until everything is as before. */
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -5,10 +5,10 @@
 import { join } from "node:path";
 import test from "node:test";
 import { fileURLToPath } from "node:url";
-import { operatorDefaults, readOperator } from "../src/settings/operator.js";
-import { readPlatform } from "../src/settings/platform.js";
+import { defaultOperatorSettings, parseOperatorSettings } from "../src/settings/operator.js";
+import { parsePlatformSettings } from "../src/settings/platform.js";
 
-const good = `
+const validSettings = `
 node_name = "n0"
 zone = "a"
 serve_on = "10.0.0.1:8080"
@@ -51,17 +51,20 @@
 max_connections = 1200
 `;
 
-test("platform settings: each mistake is named with its path, value and reason", () => {
-  assert.equal(readPlatform(good).teams[0]?.guaranteedCpus, 48);
-  // A guest team: no guarantee, and no limit either.
+test("each error in the platform settings is reported with its path, value and reason", () => {
+  assert.equal(parsePlatformSettings(validSettings).teams[0]?.guaranteedCpus, 48);
+  // A guest team has neither a guarantee nor a limit.
   const guest = '[[cluster.teams]]\nname = "g"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n';
-  assert.deepEqual(readPlatform(good.replace("[cluster.workers]", `${guest}[cluster.workers]`)).teams[1], {
-    name: "g",
-    guaranteedCpus: 0,
-    maxCpus: Infinity,
-    guaranteedGpus: 0,
-    maxGpus: Infinity,
-  });
+  assert.deepEqual(
+    parsePlatformSettings(validSettings.replace("[cluster.workers]", `${guest}[cluster.workers]`)).teams[1],
+    {
+      name: "g",
+      guaranteedCpus: 0,
+      maxCpus: Infinity,
+      guaranteedGpus: 0,
+      maxGpus: Infinity,
+    },
+  );
   const cases: [string, string, RegExp][] = [
     ['node_name = "n0"', "", /^node_name: missing, must be a non-empty string$/],
     ['serve_on = "10.0.0.1:8080"', 'serve_on = "10.0.0.1"', /^serve_on = "10.0.0.1": must be an address/],
@@ -73,27 +76,27 @@
     ["size = 3", "size = ", /^not TOML/],
   ];
   for (const [from, to, want] of cases) {
-    assert.ok(good.includes(from));
+    assert.ok(validSettings.includes(from));
     assert.throws(
-      () => readPlatform(good.replace(from, to)),
+      () => parsePlatformSettings(validSettings.replace(from, to)),
       (error: Error) => want.test(error.message),
       `${from} -> ${to}`,
     );
   }
 });
 
-test("settings of a later platform are read: unknown fields, classes, kinds of objective and teams with zeros", () => {
-  const later = good
+test("settings of a later platform version are accepted: unknown fields, classes and kinds of objectives", () => {
+  const later = validSettings
     .replace(
       "[cluster.workers]",
       '[[cluster.objectives]]\nkind = "mood"\nclass = "nobody"\n[cluster.workers]',
     )
     .replace("[endpoints]", '[endpoints]\nledger = "10.0.0.9:1"')
     .replace('node_name = "n0"', 'node_name = "n0"\nhue = "green"');
-  assert.equal(readPlatform(later).objectives.at(-1)?.kind, "mood");
+  assert.equal(parsePlatformSettings(later).objectives.at(-1)?.kind, "mood");
 });
 
-test("wrong settings end the program at start: one line with field, value and what is expected, exit code 2", () => {
+test("serve with invalid settings exits with code 2 and one line that names field, value and expectation", () => {
   const folder = mkdtempSync(join(tmpdir(), "lichenturn-settings-"));
   const main = fileURLToPath(new URL("../src/main.js", import.meta.url));
   const cases: [string, string, RegExp][] = [
@@ -108,7 +111,7 @@
   try {
     for (const [from, to, want] of cases) {
       const file = join(folder, "settings.toml");
-      writeFileSync(file, good.replace(from, to));
+      writeFileSync(file, validSettings.replace(from, to));
       const run = spawnSync(process.execPath, [main, "serve", "--config", file], {
         encoding: "utf8",
         timeout: 20_000,
@@ -126,14 +129,14 @@
   }
 });
 
-test("operators' settings: defaults, values, mistakes", async () => {
-  assert.deepEqual(await readOperator("<lichenturn/>"), operatorDefaults);
-  const set = await readOperator(
+test("operators' settings override the defaults, and invalid ones are rejected", async () => {
+  assert.deepEqual(await parseOperatorSettings("<lichenturn/>"), defaultOperatorSettings);
+  const set = await parseOperatorSettings(
     '<lichenturn><magnet degrad="0.7" moveCap="2"/><fleet idleKeepS="30"/></lichenturn>',
   );
   assert.deepEqual(
     [set.highLoadShare, set.maxMovesPerRound, set.idleKeepS, set.overloadShare],
-    [0.7, 2, 30, operatorDefaults.overloadShare],
+    [0.7, 2, 30, defaultOperatorSettings.overloadShare],
   );
   for (const [text, want] of [
     ["<lichenturn", /not XML/],
@@ -142,10 +145,10 @@
       '<lichenturn><magnet degrad="1.5"/></lichenturn>',
       /\/lichenturn\/magnet\/@degrad = "1.5": must be a number from 0.05 to 1/,
     ],
-    ['<lichenturn><magnet pull="1"/></lichenturn>', /@pull = "1": no such setting/],
-    ['<lichenturn><a moveCap="1"/><b moveCap="2"/></lichenturn>', /given twice/],
+    ['<lichenturn><magnet pull="1"/></lichenturn>', /@pull = "1": unknown setting/],
+    ['<lichenturn><a moveCap="1"/><b moveCap="2"/></lichenturn>', /set more than once/],
     ['<lichenturn><magnet violate="0.5"/></lichenturn>', /must not be below degrad/],
   ] as const) {
-    await assert.rejects(readOperator(text), want, text);
+    await assert.rejects(parseOperatorSettings(text), want, text);
   }
 });
