--- a/test/cancellationMeetings.test.ts
+++ b/test/cancellationsDuringFaults.test.ts
@@ -1,8 +1,9 @@
 /**
- * Most rules that were seen broken broke when two faults met: each row brings about one such meeting with cancellations.
- * On the sources before 0.4.0 the first row broke `ran_cancelled` (docs/incidents/gap.md).
+ * Cancellations under overlapping faults. Most observed rule violations required two overlapping faults; each scenario
+ * combines such faults with cancellations. Before version 0.4.0, the first scenario violated `ran_cancelled`
+ * (docs/incidents/gap.md).
  */
-import { often, testDays, type Day } from "./fakes/day.js";
+import { repeatedSteps, testSimulatedDays, type SimulatedDay } from "./fakes/simulatedDay.js";
 import { crash, dropPeerLinks, freezeForLong } from "./fakes/faults/controllerFaults.js";
 import { dropCommandsToBusyMachines, hangMachines } from "./fakes/faults/machineFaults.js";
 import {
@@ -20,15 +21,15 @@
   stateStoreOutage,
 } from "./fakes/faults/serviceFaults.js";
 import { cancelJobs, requestsAtCompletion } from "./fakes/faults/userFaults.js";
-import { submitOverload } from "./fakes/themedWork.js";
+import { submitOverload } from "./fakes/scenarioWorkloads.js";
 
-const meetings: Day[] = [
+const scenarios: SimulatedDay[] = [
   {
-    name: "cancellations confirmed while the state store refuses the leader alone, then it is out for all, twice",
+    name: "jobs are cancelled while the state store rejects only the leader, just before an outage for all, twice",
     seed: 700,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    longJobs: 8,
+    longRunningServices: 8,
     steps: [
       [16, refuseAtStateStore("leader", 20_000)],
       [16.2, cancelJobs(6)],
@@ -39,10 +40,10 @@
     ],
   },
   {
-    name: "who confirmed them is isolated from the leader before it can say so, others confirm an extension",
+    name: "the controller that confirms cancellations is isolated before reporting them; the others grant an extension",
     seed: 701,
-    alsoWithFive: true,
-    longJobs: 8,
+    alsoWithFiveControllers: true,
+    longRunningServices: 8,
     steps: [
       [16, refuseAtStateStore("leader", 20_000)],
       [16.1, isolateController({ follower: 0 }, { only: ["controllers"] }, 40_000)],
@@ -51,10 +52,10 @@
     ],
   },
   {
-    name: "who confirmed them crashes before it could say so, its next process speaks for itself alone, then the outage",
+    name: "the controller that confirms cancellations crashes before reporting them; its next process reports only its own",
     seed: 702,
-    alsoWithFive: true,
-    longJobs: 8,
+    alsoWithFiveControllers: true,
+    longRunningServices: 8,
     steps: [
       [16, refuseAtStateStore("leader", 20_000)],
       [16.05, dropPeerLinks(1300)],
@@ -64,29 +65,29 @@
     ],
   },
   {
-    name: "commands don't reach the machines of cancelled jobs, responses to their heartbeats do",
+    name: "commands do not reach the machines of cancelled jobs, but responses to their heartbeats do",
     seed: 703,
-    alsoWithFive: true,
-    longJobs: 8,
+    alsoWithFiveControllers: true,
+    longRunningServices: 8,
     steps: [
       [15, dropCommandsToBusyMachines(45_000)],
       [15.3, cancelJobs(6)],
     ],
   },
   {
-    name: "the leader is isolated with its workers and users, jobs are cancelled through the new one",
+    name: "the leader is isolated with its workers and users while jobs are cancelled",
     seed: 704,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    longJobs: 8,
-    steps: [[14, isolateFromControlPlane("leader", 30_000)], ...often(15, 3, 4, cancelJobs(2))],
+    longRunningServices: 8,
+    steps: [[14, isolateFromControlPlane("leader", 30_000)], ...repeatedSteps(15, 3, 4, cancelJobs(2))],
   },
   {
-    name: "a command or its response is held up for seconds, then the machine goes on",
+    name: "commands, heartbeats and their responses are held for seconds and machines hang while jobs are cancelled",
     seed: 706,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.1,
-    longJobs: 8,
+    longRunningServices: 8,
     steps: [
       [12, holdResponses(4, 5000)],
       [13, cancelJobs(3)],
@@ -98,17 +99,17 @@
     ],
   },
   {
-    name: "a cancellation, a status query or a resubmission meets the end of a job, with no other fault",
+    name: "a cancellation, a status query or a resubmission coincides with a job's completion, with no other fault",
     seed: 707,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [[4, requestsAtCompletion(0.9, 40_000)]],
   },
   {
-    name: "all controllers are away for longer than a lease, cancellations just before",
+    name: "all controllers are down for longer than a lease, just after jobs were cancelled",
     seed: 708,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.1,
-    longJobs: 8,
+    longRunningServices: 8,
     steps: [
       [14.8, cancelJobs(4)],
       [15, crash("all", 11_000)],
@@ -116,13 +117,13 @@
     ],
   },
   {
-    name: "the state store responds slowly, then refuses the leader, then everybody, while users cancel and query",
+    name: "the state store responds slowly, then rejects the leader, then all hosts, while users cancel and query jobs",
     seed: 709,
-    alsoWithFive: true,
-    longJobs: 8,
+    alsoWithFiveControllers: true,
+    longRunningServices: 8,
     steps: [
       [10, slowStateStore(1200, 12_000)],
-      ...often(11, 2, 5, cancelJobs(1)),
+      ...repeatedSteps(11, 2, 5, cancelJobs(1)),
       [20, refuseAtStateStore("leader", 10_000)],
       [20.5, cancelJobs(2)],
       [22, stateStoreOutage(30_000)],
@@ -130,12 +131,12 @@
     ],
   },
   {
-    name: "a team is at its limit, the leader changes, some machines are isolated, and jobs are cancelled",
+    name: "a team is at its limit, the leader changes and machines are isolated while jobs are cancelled",
     seed: 710,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    longJobs: 6,
-    submitWork: submitOverload,
+    longRunningServices: 6,
+    submitWorkload: submitOverload,
     steps: [
       [14, isolateMachines({ share: 0.5 }, 15_000)],
       [14.5, crash("leader", 90)],
@@ -146,11 +147,11 @@
     ],
   },
   {
-    name: "transactions without a response are carried out late, after newer ones, leaders change",
+    name: "unanswered transactions are applied late, after newer ones, while leaders change",
     seed: 716,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    longJobs: 6,
+    longRunningServices: 6,
     steps: [
       [6, delayTransactions(0.35, 20_000)],
       [14, crash("leader", 90)],
@@ -162,11 +163,11 @@
     ],
   },
   {
-    name: "a zone with workers and a controller is isolated for longer than a lease, jobs are cancelled",
+    name: "a zone with workers and a controller is isolated for longer than a lease while jobs are cancelled",
     seed: 719,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    longJobs: 8,
+    longRunningServices: 8,
     steps: [
       [14, isolateZone([{ follower: 0 }], 26_000)],
       [15, cancelJobs(4)],
@@ -175,10 +176,10 @@
     ],
   },
   {
-    name: "the leader crashes while machines with long tasks are isolated, or don't get the new one's response",
+    name: "the leader crashes while machines with long tasks are isolated or receive no response from the new leader",
     seed: 720,
-    alsoWithFive: true,
-    longJobs: 10,
+    alsoWithFiveControllers: true,
+    longRunningServices: 10,
     steps: [
       [14, isolateMachines({ share: 0.4 }, 13_000)],
       [14.6, crash("leader", 90)],
@@ -189,11 +190,11 @@
     ],
   },
   {
-    name: "a leader that froze for more than a minute wakes with its old term; jobs are cancelled meanwhile",
+    name: "a leader resumes in its old term after a freeze of more than a minute, during which jobs are cancelled",
     seed: 722,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    longJobs: 8,
+    longRunningServices: 8,
     steps: [
       [14, freezeForLong("leader", 75_000)],
       [14.2, cancelJobs(4, { hangMs: 6000 })],
@@ -203,4 +204,4 @@
   },
 ];
 
-testDays("cancellations meet faults", meetings, 100);
+testSimulatedDays("cancellations hold under overlapping faults", scenarios, 100);
--- a/test/commandBatch.test.ts
+++ b/test/commandBatch.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from "node:test";
 import type { Attempt, Job } from "../src/bookkeeping/workload.js";
 import { composeCommandBatch } from "../src/coordination/commands/commandBatch.js";
-import { FIRST_TOKEN, listed, MachineTerm } from "./fakes/machineTerm.js";
+import { FIRST_TOKEN, taskStatusOf, LeaderTermFixture } from "./fakes/leaderTermFixture.js";
 import type { TaskStatus } from "../src/protocol/model.js";
 
 const NOT_SENT = { sentToken: -1, sentEpoch: 0, sentMs: -Infinity };
@@ -44,9 +44,9 @@
   ];
   for (const { name, attempt: change, epoch = 1, sinceSentMs = 0, isSent } of cases)
     test(name, async () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
-      const attempt = term.attempt(term.job(), machine, change);
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
+      const attempt = term.addAttempt(term.addJob(), machine, change);
       machine.epoch = epoch;
       await term.clock.advance(sinceSentMs);
       const nowMs = term.clock.nowMs();
@@ -62,9 +62,9 @@
     });
 
   test("is not sent while starts are not allowed", () => {
-    const term = new MachineTerm();
-    const machine = term.machine();
-    const attempt = term.attempt(term.job(), machine, NOT_SENT);
+    const term = new LeaderTermFixture();
+    const machine = term.createMachine();
+    const attempt = term.addAttempt(term.addJob(), machine, NOT_SENT);
     const options = { includeStarts: false, raiseToken: false };
     const batch = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
     assert.deepEqual(batch.commands, []);
@@ -93,12 +93,12 @@
   ];
   for (const { name, sentMsAgo, attempt: change, isSent } of cases)
     test(name, () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
       const nowMs = term.clock.nowMs();
       const lastSentMs = sentMsAgo === null ? -Infinity : nowMs - sentMsAgo;
       const stop = { sinceMs, graceS: 4, isSent: sentMsAgo !== null, lastSentMs };
-      const attempt = term.attempt(term.job(), machine, { ...change, stop });
+      const attempt = term.addAttempt(term.addJob(), machine, { ...change, stop });
       const batch = composeCommandBatch(machine, term.jobs.byId, nowMs, {
         includeStarts: true,
         raiseToken: false,
@@ -141,13 +141,13 @@
   ];
   for (const { name, status, prepare, op } of cases)
     test(name, () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
-      const job = term.job();
-      const attempt = term.attempt(job, machine);
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
+      const job = term.addJob();
+      const attempt = term.addAttempt(job, machine);
       term.attempts.confirmGone(attempt);
       prepare?.(job);
-      machine.listedTasks = [listed(attempt, status)];
+      machine.listedTasks = [taskStatusOf(attempt, status)];
       const options = { includeStarts: true, raiseToken: false };
       const { commands } = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
       assert.deepEqual(
@@ -203,14 +203,14 @@
   ];
   for (const { name, lastStartToken, reaps, raiseToken, token } of cases)
     test(name, () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
-      const job = term.job();
-      const exited = term.attempt(job, machine);
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
+      const job = term.addJob();
+      const exited = term.addAttempt(job, machine);
       term.attempts.confirmGone(exited);
-      const next = term.attempt(job, machine, { ...NOT_SENT, task: 1 });
+      const next = term.addAttempt(job, machine, { ...NOT_SENT, task: 1 });
       machine.lastStartToken = lastStartToken;
-      if (reaps) machine.listedTasks = [listed(exited, { phase: "exited", cause: "error" })];
+      if (reaps) machine.listedTasks = [taskStatusOf(exited, { phase: "exited", cause: "error" })];
       const options = { includeStarts: true, raiseToken };
       const batch = composeCommandBatch(machine, term.jobs.byId, term.clock.nowMs(), options);
       assert.equal(batch.fencingToken, token);
--- a/test/cordon.test.ts
+++ b/test/cordon.test.ts
@@ -3,7 +3,7 @@
 import type { Attempt, Job } from "../src/bookkeeping/workload.js";
 import { liftExpiredCordon } from "../src/coordination/machines/cordon.js";
 import type { JobSpec } from "../src/protocol/model.js";
-import { MachineTerm } from "./fakes/machineTerm.js";
+import { LeaderTermFixture } from "./fakes/leaderTermFixture.js";
 
 describe("a machine", () => {
   const runsElsewhere = (job: Job): void => void job.markDone(1);
@@ -34,10 +34,10 @@
   ];
   for (const { name, failures, prepare, isCordoned } of cases)
     test(name, () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
       for (const [index, count] of failures.entries()) {
-        const job = term.job({ id: `job-${index}` });
+        const job = term.addJob({ id: `job-${index}` });
         prepare?.(job);
         machine.consecutiveFailures.set(job.id, count);
       }
@@ -48,10 +48,10 @@
 });
 
 test("a faulty machine keeps running tasks, evicts attempts that have not started, and is uncordoned after 90 seconds", () => {
-  const term = new MachineTerm();
-  const machine = term.machine();
+  const term = new LeaderTermFixture();
+  const machine = term.createMachine();
   const attempts = (["running", "saving", "waiting", "fetching", null] as const).map((phase, index) =>
-    term.attempt(term.job({ id: `job-${index}` }), machine, { phase }),
+    term.addAttempt(term.addJob({ id: `job-${index}` }), machine, { phase }),
   );
   machine.consecutiveFailures.set("job-0", 2).set("job-1", 1);
   term.cordon.cordonIfFaulty(machine);
@@ -102,10 +102,10 @@
   ];
   for (const { name, spec, attempt: change, ranS = 0, graceS } of cases)
     test(name, async () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
       const runningMs = term.clock.nowMs();
-      const attempt = term.attempt(term.job(spec), machine, { phase: "running", runningMs, ...change });
+      const attempt = term.addAttempt(term.addJob(spec), machine, { phase: "running", runningMs, ...change });
       await term.clock.advance(ranS * 1000);
       machine.interruptionAtMs = term.clock.nowMs() + 100_000;
       term.cordon.drainBeforeInterruption(machine);
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -3,10 +3,11 @@
 import { World } from "./fakes/world.js";
 
 /**
- * On the smallest controllers the sole survivor of a crash waited 4 s for the leadership lease, and the workers' leases of
- * 12 s ran out before it and the returning ones had answered them all.
+ * Guards against a slow takeover. On the smallest controllers, the only survivor of a crash waited 4 s for the
+ * leadership lease, and the workers' leases of 12 s expired before it and the restarted controllers had answered all
+ * workers.
  */
-test("the sole survivor of a crash of all other controllers leads within two seconds", async () => {
+test("the only survivor of a crash of all other controllers becomes leader within two seconds", async () => {
   const world = new World(7, { controllerCount: 5 });
   await world.run(10);
   const failedLeader = world.leader!;
@@ -30,15 +31,18 @@
   assert.deepEqual(world.violations, []);
 });
 
-/** Until it serves, the kernel refuses connections: neither workers nor users wait for a process that can't answer them. */
+/**
+ * Until a process serves, the kernel refuses connections, so no worker or user waits for a process that cannot answer
+ * yet.
+ */
 describe("a new process serves workers and users", () => {
-  const WITHIN_MS = 2500;
-  async function servedAfterMs(world: World, name: string): Promise<number> {
+  const GRANT_TIMEOUT_MS = 2500;
+  async function measureServingDelayMs(world: World, name: string): Promise<number> {
     const startedMs = world.clock.nowMs();
     let servedMs = Infinity;
     void world.controllers
       .controllerOf(name)
-      .waitForFirstGrant(WITHIN_MS)
+      .waitForFirstGrant(GRANT_TIMEOUT_MS)
       .then(() => (servedMs = world.clock.nowMs()));
     await world.run(4);
     return servedMs - startedMs;
@@ -50,8 +54,8 @@
     const name = world.controllers.names.find((controller) => controller !== world.leader)!;
     world.controllers.crash(name, 500);
     await world.run(0.501);
-    const afterMs = await servedAfterMs(world, name);
-    assert.ok(afterMs > 0 && afterMs < 1200, `after ${afterMs} ms`);
+    const delayMs = await measureServingDelayMs(world, name);
+    assert.ok(delayMs > 0 && delayMs < 1200, `after ${delayMs} ms`);
   });
 
   test("as soon as it leads and has read the records", async () => {
@@ -59,16 +63,16 @@
     await world.run(5);
     world.controllers.crash("n0", 500);
     await world.run(0.501);
-    const afterMs = await servedAfterMs(world, "n0");
-    assert.ok(afterMs > 0 && afterMs < 1200, `after ${afterMs} ms`);
+    const delayMs = await measureServingDelayMs(world, "n0");
+    assert.ok(delayMs > 0 && delayMs < 1200, `after ${delayMs} ms`);
   });
 
-  test("after a while, when there is no leader to be had", async () => {
+  test("after a timeout, if there is no leader", async () => {
     const world = new World(9);
     await world.run(5);
     world.stateStore.startOutage(20_000);
     for (const name of world.controllers.names) world.controllers.crash(name, 500);
     await world.run(0.501);
-    assert.equal(await servedAfterMs(world, "n1"), WITHIN_MS);
+    assert.equal(await measureServingDelayMs(world, "n1"), GRANT_TIMEOUT_MS);
   });
 });
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -1,20 +1,22 @@
-/** A clock that the test advances: whole simulated days pass in seconds, the same way each time. */
+/** A simulated clock that the test advances: simulated days run deterministically and within seconds. */
 import type { Clock, Timer } from "../../src/transport/clock.js";
 
 interface ScheduledTimer {
   atMs: number;
-  /** Timers for the same time run in the order in which they were set. */
+  /** Sequence number that breaks ties: timers for the same time run in the order in which they were set. */
   order: number;
   run: () => void;
   isCancelled: boolean;
 }
 
-/** Steady time at the start; not zero, so that a missing time is not taken for it. */
+/** Initial monotonic time; nonzero to distinguish it from an unset time. */
 const START_MS = 1000;
-/** Time of day at steady time zero. */
+/** Wall-clock time at monotonic time zero, in milliseconds since the Unix epoch. */
 const EPOCH_MS = 1_800_000_000_000;
 
-/** Timers run in order of time, then of setting. */
+/**
+ * A clock whose timers run in the order of their due times and, for equal times, in the order in which they were set.
+ */
 export class SimClock implements Clock {
   private currentMs = START_MS;
   private nextOrder = 0;
@@ -39,22 +41,24 @@
     };
   }
 
-  /** Moves time on, letting promises and mailboxes settle after each timer. */
+  /**
+   * Advances time by `byMs` and runs the timers that become due; promises and mailboxes are processed after each timer.
+   */
   async advance(byMs: number): Promise<void> {
     const untilMs = this.currentMs + byMs;
-    await settle();
+    await flushPromises();
     for (let next = this.timers.first(); next && next.atMs <= untilMs; next = this.timers.first()) {
       this.timers.pop();
       if (next.isCancelled) continue;
       this.currentMs = Math.max(this.currentMs, next.atMs);
       next.run();
-      await settle();
+      await flushPromises();
     }
     this.currentMs = untilMs;
   }
 }
 
-/** A binary heap with the timer that is due first on top. */
+/** A binary min-heap of timers, ordered by due time and sequence number. */
 class TimerHeap {
   private readonly items: ScheduledTimer[] = [];
 
@@ -72,7 +76,7 @@
     }
   }
 
-  /** Removes the first timer; the heap must not be empty. */
+  /** Removes the timer that is due first; the heap must not be empty. */
   pop(): void {
     const last = this.items.pop()!;
     if (this.items.length === 0) return;
@@ -104,7 +108,7 @@
   }
 }
 
-/** Lets everything run that waits for no time to pass: promise chains of any ordinary length. */
-async function settle(): Promise<void> {
+/** Runs all work that is ready without advancing the clock; `setImmediate` runs after all pending promise callbacks. */
+async function flushPromises(): Promise<void> {
   await new Promise<void>((resolve) => setImmediate(resolve));
 }
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,6 +1,6 @@
 /**
- * A fake of the cloud's interface, by its published protocol: idempotent requests for machines, lists that lag behind,
- * limited capacity, outages, and boots that go wrong. Names on the wire are translated here and nowhere else.
+ * A fake of the cloud's API that implements its published protocol: idempotent machine requests, eventually consistent
+ * lists, limited capacity, outages and boot failures. Only this module translates the API's names on the wire.
  */
 import type { ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
@@ -12,63 +12,65 @@
   cores: number;
   gpus: number;
   memoryGb: number;
-  /** Price per hour on demand. */
+  /** Price per hour of an on-demand machine. */
   price: number;
   /** Price per hour of a spot instance. */
   spotPrice: number;
-  /** Seconds from the request until the machine's worker starts. */
+  /** Time from the request until the machine's worker starts. */
   bootS: number;
   zones: string[];
 }
 
-/** A machine that exists and is paid for. */
+/** A machine that exists and incurs costs. */
 export interface SimMachine {
   id: string;
-  /** Where its worker listens. */
+  /** Address at which the machine's worker listens. */
   address: string;
   type: string;
   zone: string;
   isSpot: boolean;
   createdAtMs: number;
-  /** Its worker has started. */
+  /** Whether the machine's worker has started. */
   isUp: boolean;
 }
 
-/** How machines boot that are requested while the fault lasts. */
+/** A fault that affects the boot of machines requested while it lasts. */
 export interface BootFault {
-  /** Times the type's boot time. */
+  /** Factor by which the boot time of the machine's type is multiplied. */
   delayFactor: number;
-  /** Share of the machines that never come up. */
-  neverShare: number;
+  /** Share of the machines whose worker never starts. */
+  failureShare: number;
 }
 
-/** What the fake cloud needs from its world. */
+/** Dependencies and settings of the fake cloud. */
 export interface SimCloudOptions {
   clock: SimClock;
   net: SimNet;
   random: () => number;
-  /** Where it listens. */
+  /** Address at which the cloud's API listens. */
   address: string;
   types: SimMachineType[];
-  /** A new machine appears in lists only after this time. */
+  /** Delay until a new machine appears in lists. */
   listLagMs: number;
-  /** A machine has booted: its worker starts now. */
+  /** Called when a machine has booted, to start its worker. */
   onBoot: (machine: SimMachine) => void;
-  /** A machine was deleted or lost. */
-  onGone: (machine: SimMachine) => void;
+  /** Called when a machine was deleted or lost. */
+  onTerminated: (machine: SimMachine) => void;
 }
 
-/** Image cache and download rate that every machine type has on the wire. */
+/** Image cache size and download rate reported for every machine type, with their names on the wire. */
 const IMAGE_CACHE = { cacheGb: 40, fetchGbPerS: 1 };
-/** Boot time of a machine whose type is unknown. */
+/** Boot time of a machine of an unknown type. */
 const DEFAULT_BOOT_S = 5;
 
-/** The cloud: its machines are kept in order of their creation. */
+/** The cloud, which owns the machines in order of their creation. */
 export class SimCloud {
   readonly machines = new Map<string, SimMachine>();
-  /** Most machines that may exist at a time. */
+  /** Maximum number of machines that can exist at a time. */
   capacity = 12;
-  /** Machines created for each request id: a repeated request gets the same answer and creates none. */
+  /**
+   * Ids of the machines created for each request id; a repeated request returns the same ids and creates no machine.
+   */
   private readonly createRequests = new Map<string, string[]>();
   private nextMachine = 0;
   private outageUntilMs = -Infinity;
@@ -78,22 +80,22 @@
     options.net.listen(options.address, (request, respond) => respond(this.serve(request)));
   }
 
-  /** Answers every request with an error for that time. */
+  /** Answers every request with an error for `forMs`. */
   startOutage(forMs: number): void {
     this.outageUntilMs = this.nowMs() + forMs;
   }
 
-  /** Machines that are requested in that time come up late, at once or never. */
-  disturbBoots(fault: BootFault, forMs: number): void {
+  /** Applies the fault to the boot of all machines that are requested within `forMs`. */
+  injectBootFault(fault: BootFault, forMs: number): void {
     this.bootFault = { ...fault, untilMs: this.nowMs() + forMs };
   }
 
-  /** The machine stops without notice; an unknown id is ignored. */
+  /** Removes the machine without notice; an unknown id is ignored. */
   loseMachine(id: string): void {
     const machine = this.machines.get(id);
     if (!machine) return;
     this.machines.delete(id);
-    this.options.onGone(machine);
+    this.options.onTerminated(machine);
   }
 
   private nowMs(): number {
@@ -166,15 +168,15 @@
       isUp: false,
     };
     this.machines.set(machine.id, machine);
-    this.bootLater(machine);
+    this.scheduleBoot(machine);
     return machine;
   }
 
-  private bootLater(machine: SimMachine): void {
+  private scheduleBoot(machine: SimMachine): void {
     const type = this.options.types.find(({ name }) => name === machine.type);
     const bootMs = (type?.bootS ?? DEFAULT_BOOT_S) * 1000;
     const fault = this.bootFault !== null && this.nowMs() < this.bootFault.untilMs ? this.bootFault : null;
-    if (fault && this.options.random() < fault.neverShare) return;
+    if (fault && this.options.random() < fault.failureShare) return;
     this.options.clock.after(bootMs * (fault?.delayFactor ?? 1), () => {
       if (!this.machines.has(machine.id)) return;
       machine.isUp = true;
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -1,6 +1,6 @@
 /**
  * The controllers of a simulated region: real `Controller` objects on the simulated clock and network, each in a
- * process that can crash, freeze and restart.
+ * simulated process that can crash, freeze and restart.
  */
 import { Controller } from "../../src/controller/controller.js";
 import { encodeHello } from "../../src/protocol/peers/codec.js";
@@ -9,13 +9,13 @@
 import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 import type { SimNet, SimRequest } from "./net.js";
-import { controllerAddress, platformOf, type RegionOptions } from "./region.js";
+import { controllerAddress, platformFor, type RegionOptions } from "./region.js";
 import type { SimStateStore } from "./stateStore.js";
 
-/** Takes the frames of one link; a string says why the link must be closed. */
+/** Processes the frames of one peer link. A returned string is the reason why the link has to be closed. */
 type FrameHandler = (frame: Buffer) => string | null;
 
-/** What the controllers need from their world. */
+/** Dependencies of the simulated controllers. */
 export interface SimControllersOptions {
   clock: SimClock;
   net: SimNet;
@@ -24,13 +24,13 @@
   region: RegionOptions;
 }
 
-/** A controller's process: what is left of one when it crashes is not used again. */
+/** One controller process. A restart after a crash creates a new object. */
 class ControllerProcess {
   isAlive = true;
-  /** Until then nothing that arrives is processed and no timer runs, though its clock runs on. */
+  /** Time until which the process handles no input and runs no timer, although its clock advances. */
   frozenUntilMs = 0;
   readonly controller: Controller;
-  /** Links from other controllers, by their sender's incarnation. */
+  /** Links from other controllers, by the sender's incarnation. */
   private readonly links = new Map<string, FrameHandler>();
 
   constructor(
@@ -40,7 +40,7 @@
     send: (from: ControllerProcess, peer: string, frame: Buffer) => boolean,
   ) {
     const caller = this.createCaller();
-    this.controller = new Controller(platformOf(name, options.region), defaultOperatorSettings, {
+    this.controller = new Controller(platformFor(name, options.region), defaultOperatorSettings, {
       clock: this.createClock(),
       stateStoreHttp: caller,
       cloudHttp: caller,
@@ -51,14 +51,14 @@
     });
   }
 
-  /** Runs at once or, when the process is frozen, as it wakes. */
+  /** Runs the callback immediately or, if the process is frozen, when the freeze ends. */
   whenRunning(run: () => void): void {
     const waitMs = this.frozenUntilMs - this.options.clock.nowMs();
     if (waitMs > 0) this.options.clock.after(waitMs, () => this.whenRunning(run));
     else run();
   }
 
-  /** A frame from another controller's process; a link's frames come in their order, the greeting first. */
+  /** Passes on a frame from another controller's process; the first frame of a sender opens a link with a hello. */
   receiveFrame(from: ControllerProcess, frame: Buffer): void {
     let link = this.links.get(from.incarnation);
     if (!link) {
@@ -67,7 +67,7 @@
       this.links.set(from.incarnation, link);
     }
     const refusal = link(frame);
-    if (refusal !== null) throw new Error(`${from.name} was refused: ${refusal}`);
+    if (refusal !== null) throw new Error(`peer link from ${from.name} was rejected: ${refusal}`);
   }
 
   serve(request: SimRequest, respond: (reply: ClientResponse) => void): void {
@@ -113,31 +113,31 @@
   }
 }
 
-/** All controllers of a region, by their names. */
+/** The controllers of a region; each is identified by its name. */
 export class SimControllers {
-  /** Until then controllers have no links to each other: what they would send is lost. */
+  /** Time until which the controllers have no links to each other and frames that they send are lost. */
   peerLinksDownUntilMs = 0;
-  /** Called with the body of each heartbeat that a controller receives. */
+  /** Called with the body of each heartbeat that a controller accepts for processing. */
   onHeartbeat: (body: unknown) => void = () => undefined;
   private readonly processes = new Map<string, ControllerProcess>();
-  private incarnations = 0;
-  /** Workers whose heartbeats are ignored, and until when. */
-  private readonly ignoredUntilMs = new Map<string, number>();
+  private incarnationCount = 0;
+  /** Time until which a machine's heartbeats are dropped, by machine id. */
+  private readonly dropHeartbeatsUntilMs = new Map<string, number>();
 
   constructor(private readonly options: SimControllersOptions) {}
 
-  /** All names, also of those that are down. */
+  /** Names of all controllers, including those that are down. */
   get names(): string[] {
     return this.options.region.controllers;
   }
 
-  /** Who holds the leadership, as the state store has it; null: nobody. */
+  /** Name of the leader according to the state store, or null if there is none. */
   get leader(): string | null {
     const hold = this.options.stateStore.entries.get("lead/hold")?.value as { node: string } | undefined;
     return hold?.node ?? null;
   }
 
-  /** The leader or, when there is none, the first controller. */
+  /** Name of the leader or, if there is none, of the first controller. */
   get leaderOrFirst(): string {
     return this.leader ?? this.names[0]!;
   }
@@ -155,7 +155,7 @@
     for (const name of this.names) this.start(name);
   }
 
-  /** The controller's process ends and is started again after that time. */
+  /** Ends the controller's process and starts a new one after `restartMs`. */
   crash(name: string, restartMs: number): void {
     const process = this.processes.get(name);
     if (!process?.isAlive) return;
@@ -166,20 +166,20 @@
     this.options.clock.after(restartMs, () => this.start(name));
   }
 
-  /** Stops the process for that time while its clock runs on; what came in meanwhile it gets when it wakes. */
+  /** Suspends the process for `forMs` while its clock advances; it processes the input of that time afterwards. */
   freeze(name: string, forMs: number): void {
     const process = this.processes.get(name);
     if (process?.isAlive) process.frozenUntilMs = this.options.clock.nowMs() + forMs;
   }
 
-  /** That worker's heartbeats get no response anywhere, though commands reach it. */
-  dropHeartbeatResponses(machineId: string, forMs: number): void {
-    this.ignoredUntilMs.set(machineId, this.options.clock.nowMs() + forMs);
+  /** Drops the machine's heartbeats at every controller for `forMs`; commands still reach the machine. */
+  dropHeartbeats(machineId: string, forMs: number): void {
+    this.dropHeartbeatsUntilMs.set(machineId, this.options.clock.nowMs() + forMs);
   }
 
   /**
-   * The others see connections to it refused, rightly or not. They count `linksUp` links to further controllers;
-   * without it, one to each that runs.
+   * Signals to all other controllers that connections to this one were refused, whether or not it is running. Each is
+   * told that it has `linksUp` links to further controllers; by default, one to each that is running.
    */
   reportPeerRefused(name: string, linksUp?: number): void {
     for (const [observer, process] of this.processes) {
@@ -192,24 +192,24 @@
     }
   }
 
-  /** The controller object of the present process. */
+  /** Returns the controller object of the current process. */
   controllerOf(name: string): Controller {
     return this.processes.get(name)!.controller;
   }
 
-  /** A new link to that controller, from an unknown sender. */
+  /** Opens a new link to the controller, whose sender is not identified yet. */
   openPeerLink(name: string): FrameHandler {
     return this.controllerOf(name).acceptPeerLink();
   }
 
   private start(name: string): void {
-    const incarnation = `incarnation-${++this.incarnations}`;
+    const incarnation = `incarnation-${++this.incarnationCount}`;
     const process = new ControllerProcess(name, incarnation, this.options, (from, peer, frame) =>
       this.sendFrame(from, peer, frame),
     );
     this.processes.set(name, process);
     this.options.net.listen(controllerAddress(name), (request, respond) => {
-      if (!process.isAlive || this.isIgnoredHeartbeat(request)) return;
+      if (!process.isAlive || this.isDroppedHeartbeat(request)) return;
       if (isHeartbeat(request)) this.onHeartbeat(request.body);
       process.serve(request, respond);
     });
@@ -219,7 +219,7 @@
   private sendFrame(from: ControllerProcess, peer: string, frame: Buffer): boolean {
     const { clock, net } = this.options;
     if (!from.isAlive || clock.nowMs() < this.peerLinksDownUntilMs) return false;
-    // The sender may reuse its buffer.
+    // The sender may reuse its buffer after the call.
     const copy = Buffer.from(frame);
     net.transmit(controllerAddress(from.name), controllerAddress(peer), () => {
       const receiver = this.processes.get(peer);
@@ -228,10 +228,10 @@
     return true;
   }
 
-  private isIgnoredHeartbeat(request: SimRequest): boolean {
+  private isDroppedHeartbeat(request: SimRequest): boolean {
     if (!isHeartbeat(request)) return false;
     const { tuft: machineId } = (request.body ?? {}) as { tuft?: string };
-    return (this.ignoredUntilMs.get(machineId ?? "") ?? 0) > this.options.clock.nowMs();
+    return (this.dropHeartbeatsUntilMs.get(machineId ?? "") ?? 0) > this.options.clock.nowMs();
   }
 }
 
--- a/test/fakes/faults/controllerFaults.ts
+++ b/test/fakes/faults/controllerFaults.ts
@@ -55,7 +55,7 @@
     case "freeze":
       for (const name of pickControllers(world, fault.target)) {
         const forMs = drawAmount(random, fault.forMs);
-        if (fault.isExpected) world.expectFaultsFor(forMs);
+        if (fault.isExpected) world.extendFaultPeriod(forMs);
         controllers.freeze(name, forMs);
       }
       return;
--- a/test/fakes/faults/drawnSchedule.ts
+++ b/test/fakes/faults/drawnSchedule.ts
@@ -84,9 +84,9 @@
   ["query flood", floodWithQueries(8, upTo(30_000))],
   ["failing jobs", submitFailingJobs({ upTo: 5 }, upTo(30_000))],
   ["faulty machines", makeMachinesFaulty({ upTo: 3 }, upTo(30_000))],
-  ["late boots", disturbBoots({ upTo: 5 }, { delayFactor: 4, neverShare: 0 }, upTo(40_000))],
-  ["boots that never end", disturbBoots({ upTo: 5 }, { delayFactor: 1, neverShare: 0.6 }, upTo(40_000))],
-  ["instant boots", disturbBoots({ upTo: 5 }, { delayFactor: 0.1, neverShare: 0 }, upTo(40_000))],
+  ["late boots", disturbBoots({ upTo: 5 }, { delayFactor: 4, failureShare: 0 }, upTo(40_000))],
+  ["boots that never end", disturbBoots({ upTo: 5 }, { delayFactor: 1, failureShare: 0.6 }, upTo(40_000))],
+  ["instant boots", disturbBoots({ upTo: 5 }, { delayFactor: 0.1, failureShare: 0 }, upTo(40_000))],
 ];
 
 /** A fault, the name it is printed with, and its time on the day. */
--- a/test/fakes/faults/machineFaults.ts
+++ b/test/fakes/faults/machineFaults.ts
@@ -110,8 +110,8 @@
     case "disturbed boots": {
       const lostCount = drawCount(random, fault.lostCount);
       const forMs = drawAmount(random, fault.forMs);
-      world.expectFaultsFor(forMs);
-      cloud.disturbBoots(fault.boots, forMs);
+      world.extendFaultPeriod(forMs);
+      cloud.injectBootFault(fault.boots, forMs);
       loseAny(world, lostCount);
     }
   }
@@ -127,7 +127,7 @@
 
 function ignoreHeartbeatsOf(world: World, machines: MachineSelection, forMs: number): void {
   for (const { machine } of pickWorkers(world, machines)) {
-    world.controllers.dropHeartbeatResponses(machine.id, forMs);
+    world.controllers.dropHeartbeats(machine.id, forMs);
   }
 }
 
--- a/test/fakes/faults/userFaults.ts
+++ b/test/fakes/faults/userFaults.ts
@@ -1,6 +1,6 @@
 /** What users do at a bad moment, too often or wrongly. */
 import type { JobSubmission, SimJob } from "../job.js";
-import { QUERY_EVERY_MS, type RefusalStatus } from "../users.js";
+import { STATUS_QUERY_INTERVAL_MS, type RefusalStatus } from "../users.js";
 import type { SimWorker } from "../worker.js";
 import type { World } from "../world.js";
 import { drawAmount, drawCount, type Amount, type Count } from "./amounts.js";
@@ -134,7 +134,7 @@
   return [...users.jobs.values()]
     .filter((job) => job.isAccepted && !job.isCancelRequested && job.finalPhase === null)
     .filter((job) => fleet.liveTasks(job.spec.ref).length > 0)
-    .sort((left, right) => (right.runS ?? ENDLESS_S) - (left.runS ?? ENDLESS_S));
+    .sort((left, right) => (right.runTimeS ?? ENDLESS_S) - (left.runTimeS ?? ENDLESS_S));
 }
 
 function cancelRunningJobs(world: World, count: number, hangMs: number, at?: string): void {
@@ -176,7 +176,7 @@
   const untilMs = clock.nowMs() + forMs;
   const queryAll = (): void => {
     if (clock.nowMs() > untilMs) return;
-    clock.after(QUERY_EVERY_MS / factor, queryAll);
+    clock.after(STATUS_QUERY_INTERVAL_MS / factor, queryAll);
     for (const job of users.jobs.values()) {
       if (job.isAccepted && job.finalPhase === null) users.queryStatus(job);
     }
--- a/test/fakes/fleet.ts
+++ b/test/fakes/fleet.ts
@@ -1,33 +1,33 @@
-/** The workers of a simulated region: those of the machines that have booted and were not lost since. */
+/** The workers of a simulated region, one on each machine that has booted and still exists. */
 import type { SimMachine } from "./cloud.js";
 import { jobIdOf, type SimJob } from "./job.js";
 import type { HostFilter } from "./net.js";
 import type { SimTask } from "./taskRunner.js";
 import { SimWorker, type PlacedTask, type SimWorkerOptions, type WorkerEvents } from "./worker.js";
 
-/** What the fleet needs from its world. */
+/** Dependencies of the fleet. */
 export interface SimFleetOptions {
-  /** All jobs that were submitted. */
+  /** All submitted jobs, by id. */
   jobs: ReadonlyMap<string, SimJob>;
-  /** What each worker is made with. */
+  /** Options that each new worker is created with. */
   worker: Omit<SimWorkerOptions, "events">;
   onTaskStart: (worker: SimWorker, task: SimTask) => void;
   onTaskEnd: (task: SimTask) => void;
 }
 
-/** Starts and ends workers with their machines, and finds tasks on them. */
+/** Starts and kills workers together with their machines, and looks up the tasks on them. */
 export class SimFleet {
-  /** By machine id, in order of their boot. */
+  /** Workers by machine id, in order of boot. */
   readonly workers = new Map<string, SimWorker>();
-  /** Ids of machines that fail every task they start. */
+  /** Ids of the machines on which every task fails. */
   readonly faultyMachines = new Set<string>();
-  /** Was that task submitted with a mistake? It fails on every machine. */
+  /** Whether the task fails on every machine, as one with an error in its submission does. */
   failsEverywhere: (taskName: string) => boolean = () => false;
   private readonly events: WorkerEvents;
 
   constructor(private readonly options: SimFleetOptions) {
     this.events = {
-      runS: (taskName) => this.runS(taskName),
+      runTimeS: (taskName) => this.runTimeS(taskName),
       gangSize: (jobId) => this.gangSize(jobId),
       gangMembers: (jobId, attempt) => this.readyGangMembers(jobId, attempt),
       failsTask: (worker, taskName) =>
@@ -37,18 +37,18 @@
     };
   }
 
-  /** Starts the worker of a machine that has booted. */
+  /** Starts the worker on a machine that has booted. */
   startWorker(machine: SimMachine): void {
     this.workers.set(machine.id, new SimWorker(machine, { ...this.options.worker, events: this.events }));
   }
 
-  /** Ends the worker of a machine that is gone. */
-  endWorker(machine: SimMachine): void {
+  /** Kills the worker of a machine that no longer exists. */
+  killWorker(machine: SimMachine): void {
     this.workers.get(machine.id)?.kill();
     this.workers.delete(machine.id);
   }
 
-  /** The job's tasks that have started and not ended, on all workers. */
+  /** Returns the job's tasks that have started and not ended, on all workers. */
   liveTasks(jobId: string): PlacedTask[] {
     const prefix = `${jobId}/`;
     const live: PlacedTask[] = [];
@@ -60,18 +60,18 @@
     return live;
   }
 
-  /** Accepts the hosts of that zone's machines, also of those that boot later, and the hosts named beside them. */
+  /** Selects the zone's machines, including those that boot later, and the additional hosts. */
   zoneHosts(zone: string, ...hosts: string[]): HostFilter {
     return (host) =>
       hosts.includes(host) ||
       [...this.workers.values()].some(({ machine }) => machine.zone === zone && machine.address === host);
   }
 
-  private runS(taskName: string): number | null {
+  private runTimeS(taskName: string): number | null {
     const [jobId, index] = taskName.split("/");
     const job = this.options.jobs.get(jobId!);
-    if (!job || job.runS === null) return null;
-    return job.runS + job.runStepS * Number(index);
+    if (!job || job.runTimeS === null) return null;
+    return job.runTimeS + job.runTimeStepS * Number(index);
   }
 
   private gangSize(jobId: string): number {
@@ -84,7 +84,7 @@
   }
 }
 
-/** The job that a task belongs to; undefined: nobody submitted it. */
+/** Returns the job that a task belongs to, or undefined if no such job was submitted. */
 export function jobOf(jobs: ReadonlyMap<string, SimJob>, task: SimTask): SimJob | undefined {
   return jobs.get(jobIdOf(task.name));
 }
--- a/test/fakes/job.ts
+++ b/test/fakes/job.ts
@@ -1,74 +1,78 @@
-/** A job as its user submitted it, and what became of it. */
+/** The submission and the observed state of a job in a simulated region. */
 
-/** The body of a submission, in the names of the users' interface. */
+/** The body of a job submission, with the field names of the users' API. */
 export interface JobSubmission {
   /** The job's id, chosen by its user. */
   ref: string;
-  /** Class of jobs that are alike. */
+  /** Job class, which groups similar jobs. */
   strain: string;
-  /** Team. */
+  /** Team that the job belongs to. */
   crew: string;
   /** Kind of job: an array, a gang ("ensemble") or a service ("standing"). */
   form: string;
-  /** Priority. */
+  /** Priority: "best_effort", "standard", "high" or "prod". */
   rank: string;
   /** Number of tasks. */
   spores: number;
   cores: number;
   gpus: number;
   memoryGb: number;
-  /** Image. */
+  /** Name of the container image. */
   seedstock: string;
-  /** Size of the image. */
+  /** Size of the image, in GB. */
   pullGb: number;
-  /** All tasks in one zone. */
+  /** Whether all tasks have to run in the same zone. */
   together: boolean;
-  /** Tasks spread over zones. */
+  /** Whether the tasks have to be spread over zones. */
   scatter: boolean;
-  /** May run on spot instances. */
+  /** Whether the tasks may run on spot instances. */
   windfall: boolean;
-  /** Estimated run time. */
+  /** Estimated run time, in seconds. */
   guessS: number;
-  /** Time between checkpoints; 0: none. */
+  /** Interval between checkpoints, in seconds; 0 if the job takes none. */
   cairnS: number;
-  /** Time that saving a checkpoint takes. */
+  /** Time that saving a checkpoint takes, in seconds. */
   stashS: number;
-  /** Allowed machine types; null or absent: any. */
+  /** Allowed machine types; null or absent if all are allowed. */
   breeds?: string[] | null;
-  /** The zone that the job is bound to; null or absent: any. */
+  /** Zone in which all tasks have to run; null or absent if all zones are allowed. */
   patch?: string | null;
-  /** Deadline, in seconds from the submission. */
+  /** Deadline, in seconds after the submission; null or absent if there is none. */
   dueS?: number | null;
 }
 
-/** Phases that a job never leaves, in the names of the users' interface; "withdrawn": cancelled. */
+/** The terminal phases of a job, as named in the users' API; "withdrawn" means cancelled. */
 export type FinalPhase = "done" | "withdrawn";
 
-/** A job from its submission on, as its user and the checkers of the rules see it. */
+/** A submitted job, with the state that its user and the rule checkers have observed. */
 export interface SimJob {
   spec: JobSubmission;
-  /** How long the first task runs; null: until the job is cancelled. */
-  runS: number | null;
-  /** Each task runs for so much longer than the one before it. */
-  runStepS: number;
+  /** Run time of the first task, in seconds; null if the tasks run until the job is cancelled. */
+  runTimeS: number | null;
+  /** Difference in run time between consecutive tasks, in seconds. */
+  runTimeStepS: number;
   submittedAtMs: number;
-  /** A controller has confirmed the submission. */
+  /** Whether a controller has confirmed the submission. */
   isAccepted: boolean;
-  /** The final phase that a controller reported to the user; null: none yet. */
+  /** The final phase that a controller reported to the user, or null if none was reported. */
   finalPhase: FinalPhase | null;
+  /** Time at which the final phase was reported; Infinity if none was. */
   finalPhaseAtMs: number;
   isCancelRequested: boolean;
-  /** Names of the tasks that were completed. */
+  /** Names of the completed tasks. */
   doneTasks: Set<string>;
-  /** When one of its user's status queries was last answered. */
+  /**
+   * Time of the last response to a periodic status query; initially the time of the submission. Reporting a `forgotten`
+   * violation resets it to the current time.
+   */
   lastResponseAtMs: number;
-  /** When the first of its tasks started; null: none did. */
+  /** Time at which a task of the job first started, or null if none has. */
   firstStartAtMs: number | null;
-  /** Since when it waits though there is room for it; null: it does not. */
+  /** Time since which tasks have waited although capacity for them is free, or null if that is not the case. */
   waitingSinceMs: number | null;
 }
 
-/** The id of the job that a task belongs to; tasks are named `job/index`. */
+/** Returns the id of the job that a task belongs to; task names have the form `job/index`. */
 export function jobIdOf(taskName: string): string {
   return taskName.split("/")[0]!;
 }
--- a/test/fakes/machineTerm.ts
+++ b/test/fakes/leaderTermFixture.ts
@@ -1,4 +1,7 @@
-/** A leader's term as far as machines, attempts and commands go, without mailbox, state store and cloud. */
+/**
+ * A test fixture with the parts of a leader's term that manage machines, attempts and commands. It has no mailbox,
+ * state store or cloud.
+ */
 import { QuotaUsage } from "../../src/bookkeeping/quotaUsage.js";
 import { type Attempt, Job, Machine } from "../../src/bookkeeping/workload.js";
 import { Cordon } from "../../src/coordination/machines/cordon.js";
@@ -39,8 +42,8 @@
   deadlineS: null,
 };
 
-/** The parts of a term that decide on attempts, each the real one; commands are only recorded. */
-export class MachineTerm {
+/** The real components of a term that decide on attempts; requested commands are recorded instead of being sent. */
+export class LeaderTermFixture {
   readonly clock = new SimClock();
   readonly jobs = new JobRegistry();
   readonly estimates = new Estimates(new Set());
@@ -54,7 +57,7 @@
     },
     this.clock,
   );
-  /** Machines that commands were requested for, in order; "+": under a higher fencing token. */
+  /** Names of the machines for which commands were requested, in order; the suffix "+" marks a raised fencing token. */
   readonly commandRequests: string[] = [];
   readonly attempts: Attempts;
   readonly cordon: Cordon;
@@ -82,8 +85,8 @@
     this.reconciliation = new Reconciliation({ clock, lease, jobs, attempts, commands, estimates, cordon });
   }
 
-  /** A machine that is up and has shown the term's first token, in its first epoch. */
-  machine(name = "host-1"): Machine {
+  /** Creates a machine that is up, is in its first epoch and has reported the term's first fencing token. */
+  createMachine(name = "host-1"): Machine {
     const machine = new Machine(name, "a", FIRST_TOKEN, this.clock.nowMs());
     machine.state = "up";
     machine.address = `${name}:80`;
@@ -92,15 +95,15 @@
     return machine;
   }
 
-  /** An array of two tasks, unless changed, that the term knows. */
-  job(change: Partial<JobSpec> = {}): Job {
+  /** Registers a job with the term; it is an array of two tasks unless `change` overrides that. */
+  addJob(change: Partial<JobSpec> = {}): Job {
     const job = new Job({ ...ARRAY_OF_TWO, ...change }, new Date(0), 1, null, this.clock.nowMs());
     this.jobs.add(job);
     return job;
   }
 
-  /** An attempt that is durable and was sent right now under the machine's token. */
-  attempt(job: Job, machine: Machine, change: Partial<Attempt> = {}): Attempt {
+  /** Attaches an attempt that is durable and was sent just now under the machine's fencing token. */
+  addAttempt(job: Job, machine: Machine, change: Partial<Attempt> = {}): Attempt {
     const attempt: Attempt = {
       job,
       task: 0,
@@ -122,8 +125,8 @@
   }
 }
 
-/** What a worker lists for an attempt. */
-export function listed(attempt: Attempt, change: Partial<TaskStatus> = {}): TaskStatus {
+/** Returns the task status that a worker reports for an attempt; by default, the task is running. */
+export function taskStatusOf(attempt: Attempt, change: Partial<TaskStatus> = {}): TaskStatus {
   const { job, task, number } = attempt;
   return { jobId: job.id, task, attempt: number, phase: "running", cause: null, saved: false, ...change };
 }
--- a/test/fakes/longJobs.ts
+++ b/test/fakes/longRunningServices.ts
@@ -1,8 +1,8 @@
-/** Services that outlive a simulated day unless they are cancelled. */
+/** Services that run for the whole simulated day unless they are cancelled. */
 import type { World } from "./world.js";
 
-/** Submits so many of them, of both teams, most of them open to spot instances. */
-export function submitLongJobs(world: World, count: number): void {
+/** Submits `count` services of both teams; two thirds of them may run on spot instances. */
+export function submitLongRunningServices(world: World, count: number): void {
   for (let i = 0; i < count; i++) {
     const ref = `job-9${String(i).padStart(5, "0")}`;
     const crew = i % 2 ? "one" : "two";
--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -1,50 +1,54 @@
 /**
- * The simulated network between the fakes: delays, partitions that hold packets and deliver them late, and duplicates
- * of requests that arrive long after the original was served.
+ * The simulated network between the fakes. It delays packets, holds them during partitions and delivers them
+ * afterwards, and duplicates requests long after the original was served.
  */
 import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
 import { NoResponseError } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 
-/** A request as a host receives it. */
+/** A request as the receiving host sees it. */
 export interface SimRequest {
   method: string;
   path: string;
   body: unknown;
 }
 
-/** Serves requests at an address; `from` is the sender's address. */
-export type SimHost = (request: SimRequest, respond: (reply: ClientResponse) => void, from: string) => void;
+/** Handles the requests to one address; `from` is the sender's address. */
+export type RequestHandler = (
+  request: SimRequest,
+  respond: (reply: ClientResponse) => void,
+  from: string,
+) => void;
 
-/** Selects hosts by their address. */
+/** A predicate that selects hosts by their address. */
 export type HostFilter = (host: string) => boolean;
 
 interface Partition {
   senders: HostFilter;
   receivers: HostFilter;
   untilMs: number;
-  /** Only packets from senders to receivers are held, not those the other way. */
+  /** Whether only packets from senders to receivers are held; otherwise both directions are. */
   isOneWay: boolean;
 }
 
-/** Shortest time that a packet travels. */
+/** Minimum latency of a packet. */
 const MIN_DELAY_MS = 1;
-/** What a packet takes longer than that at most, on an undisturbed network. */
+/** Maximum latency above the minimum when `extraDelayMs` is 0. */
 const DELAY_SPREAD_MS = 4;
-/** Packets that a partition held arrive within this time of its end. */
+/** Packets held by a partition arrive within this time after it ends. */
 const RELEASE_SPREAD_MS = 5;
-/** A duplicate comes no sooner than this after its original. */
+/** Minimum delay of a duplicate after its original. */
 const MIN_DUPLICATE_DELAY_MS = 500;
 
-/** One network; all hosts are named by their addresses. */
+/** A network whose hosts are identified by their addresses. */
 export class SimNet {
-  /** Share of POST requests that arrive a second time. */
+  /** Share of POST requests that are delivered twice. */
   duplicateShare = 0;
-  /** Latest time of a duplicate after its original. */
-  duplicateWithinMs = 20_500;
-  /** Each packet takes up to so much longer. */
+  /** Maximum delay of a duplicate after its original. */
+  maxDuplicateDelayMs = 20_500;
+  /** Upper bound of the additional random latency of each packet; 0 for none. */
   extraDelayMs = 0;
-  private readonly hosts = new Map<string, SimHost>();
+  private readonly handlers = new Map<string, RequestHandler>();
   private partitions: Partition[] = [];
 
   constructor(
@@ -52,34 +56,38 @@
     private readonly random: () => number,
   ) {}
 
-  /** Serves that address; replaces what served it before. */
-  listen(address: string, host: SimHost): void {
-    this.hosts.set(address, host);
+  /** Registers the handler for an address, replacing any earlier one. */
+  listen(address: string, host: RequestHandler): void {
+    this.handlers.set(address, host);
   }
 
-  /** Connections to that address are refused from now on. */
+  /** Removes the handler of an address; connections to it are refused from now on. */
   close(address: string): void {
-    this.hosts.delete(address);
+    this.handlers.delete(address);
   }
 
-  /** Holds packets between the two groups for that time, in both directions unless `isOneWay`. */
+  /** Holds packets between the two groups for `forMs`, in both directions unless `isOneWay` is set. */
   partition(senders: HostFilter, receivers: HostFilter, forMs: number, isOneWay = false): void {
     this.partitions.push({ senders, receivers, untilMs: this.clock.nowMs() + forMs, isOneWay });
   }
 
-  /** Runs `deliver` when a packet sent now arrives: after the partition, when there is one. */
+  /**
+   * Runs `deliver` when a packet that is sent now arrives, which is after the end of any partition between the hosts.
+   */
   transmit(from: string, to: string, deliver: () => void): void {
     const nowMs = this.clock.nowMs();
     this.partitions = this.partitions.filter(({ untilMs }) => untilMs > nowMs);
     let arrivalMs = nowMs + MIN_DELAY_MS + this.random() * (DELAY_SPREAD_MS + this.extraDelayMs);
     for (const partition of this.partitions) {
-      if (!holds(partition, from, to)) continue;
+      if (!blocks(partition, from, to)) continue;
       arrivalMs = Math.max(arrivalMs, partition.untilMs + this.random() * RELEASE_SPREAD_MS);
     }
     this.clock.after(arrivalMs - nowMs, deliver);
   }
 
-  /** A client at `from`; once `isAlive` says no, responses reach nobody, but requests still travel. */
+  /**
+   * Creates a client at `from`. Once `isAlive` returns false, responses are discarded, but sent requests still arrive.
+   */
   caller(from: string, isAlive: () => boolean): HttpCaller {
     return {
       call: (address, method, path, body, timeoutMs) =>
@@ -99,7 +107,7 @@
             timer.cancel();
             reject(new NoResponseError("refused", true));
           };
-          this.transmit(from, address, () => this.arrive(from, address, request, onReply, onRefused));
+          this.transmit(from, address, () => this.deliverRequest(from, address, request, onReply, onRefused));
           if (method === "POST" && this.random() < this.duplicateShare) {
             this.duplicateLater(from, address, request);
           }
@@ -107,23 +115,23 @@
     };
   }
 
-  /** Nobody waits for the response to a duplicate, but it travels. */
+  /** Delivers a second copy of the request later; the response to it is transmitted and then discarded. */
   private duplicateLater(from: string, address: string, request: SimRequest): void {
-    const spreadMs = this.duplicateWithinMs - MIN_DUPLICATE_DELAY_MS;
+    const spreadMs = this.maxDuplicateDelayMs - MIN_DUPLICATE_DELAY_MS;
     const ignore = (): void => undefined;
     this.clock.after(MIN_DUPLICATE_DELAY_MS + this.random() * spreadMs, () =>
-      this.arrive(from, address, request, ignore, ignore),
+      this.deliverRequest(from, address, request, ignore, ignore),
     );
   }
 
-  private arrive(
+  private deliverRequest(
     from: string,
     address: string,
     request: SimRequest,
     onReply: (reply: ClientResponse) => void,
     onRefused: () => void,
   ): void {
-    const host = this.hosts.get(address);
+    const host = this.handlers.get(address);
     if (!host) {
       onRefused();
       return;
@@ -136,6 +144,6 @@
   }
 }
 
-function holds({ senders, receivers, isOneWay }: Partition, from: string, to: string): boolean {
+function blocks({ senders, receivers, isOneWay }: Partition, from: string, to: string): boolean {
   return (senders(from) && receivers(to)) || (!isOneWay && senders(to) && receivers(from));
 }
--- a/test/fakes/peerMessages.ts
+++ b/test/fakes/peerMessages.ts
@@ -1,3 +1,4 @@
+/** Sample heartbeats and peer messages for tests of their encodings. */
 import type { Heartbeat, TaskStatus } from "../../src/protocol/model.js";
 import type { PeerMessage } from "../../src/protocol/peers/messages.js";
 
@@ -18,7 +19,7 @@
   ],
 };
 
-/** A heartbeat with a task in each phase and with each exit cause, without a notice of interruption. */
+/** A heartbeat with tasks in every phase and with every exit cause, and without an interruption notice. */
 export const variedHeartbeat: Heartbeat = {
   machine: "host-2",
   address: "",
@@ -51,7 +52,7 @@
   ],
 };
 
-/** At least one message of each kind, by name; both values of each flag and each optional field. */
+/** At least one message of each kind, by name; they cover both values of each flag and each optional field. */
 export const peerMessages: Record<string, PeerMessage> = {
   hello: { kind: "hello", from: "n3", version: 2 },
   "extension request": { kind: "extension request", from: "n1", term: 7, requestId: 2 ** 40 },
--- a/test/fakes/region.ts
+++ b/test/fakes/region.ts
@@ -1,4 +1,4 @@
-/** The region that the fakes stand for: machine types, teams' limits, addresses, and the settings of each controller. */
+/** The simulated region's configuration: machine types, team limits, addresses, and the settings of each controller. */
 import type { PlatformSettings } from "../../src/settings/platform.js";
 import type { SimMachineType } from "./cloud.js";
 
@@ -6,15 +6,16 @@
 export const STATE_STORE_ADDRESS = "state:1";
 export const USER_ADDRESS = "user:1";
 
-/** How often workers send heartbeats, and how long one lets them go on. */
+/** Interval between a worker's heartbeats. */
 export const HEARTBEAT_S = 1;
+/** Duration of a worker's lease, which an acknowledged heartbeat renews. */
 export const LEASE_S = 8;
-/** New machines appear in the cloud's lists only after this time. */
+/** Delay until a new machine appears in the cloud's machine lists. */
 export const LIST_LAG_S = 3;
-/** A cancelled job has no task any more this long after its cancellation was confirmed. */
+/** Time limit after a confirmed cancellation by which all tasks of the job have ended. */
 export const CANCEL_S = 25;
 
-const BOTH_ZONES = ["a", "b"];
+const ZONES = ["a", "b"];
 
 export const MACHINE_TYPES: SimMachineType[] = [
   {
@@ -25,7 +26,7 @@
     price: 0.2,
     spotPrice: 0.05,
     bootS: 3,
-    zones: BOTH_ZONES,
+    zones: ZONES,
   },
   {
     name: "large",
@@ -35,35 +36,35 @@
     price: 0.9,
     spotPrice: 0.2,
     bootS: 5,
-    zones: BOTH_ZONES,
+    zones: ZONES,
   },
-  { name: "accel", cores: 8, gpus: 2, memoryGb: 64, price: 3, spotPrice: 1, bootS: 4, zones: BOTH_ZONES },
+  { name: "accel", cores: 8, gpus: 2, memoryGb: 64, price: 3, spotPrice: 1, bootS: 4, zones: ZONES },
 ];
 
 /** The two teams of the region. */
 export type TeamName = "one" | "two";
 
-/** What each team's tasks may use at most. */
+/** Maximum resources that each team's tasks may use together. */
 export type TeamLimits = Record<TeamName, { cpus: number; gpus: number }>;
 export const TEAM_LIMITS: TeamLimits = { one: { cpus: 20, gpus: 4 }, two: { cpus: 24, gpus: 4 } };
 
-/** The region as the controllers' settings describe it. */
+/** The parts of the controllers' settings that a test can choose. */
 export interface RegionOptions {
-  /** All controllers' names. */
+  /** Names of all controllers. */
   controllers: string[];
   limits: TeamLimits;
-  /** Each controller's zone, in the same order; "a" where none is given. */
+  /** Zone of each controller, in the order of `controllers`; "a" for controllers without an entry. */
   zones: string[];
   objectives: PlatformSettings["objectives"];
 }
 
-/** Where that controller serves workers and users. */
+/** Returns the address at which a controller serves workers and users. */
 export function controllerAddress(name: string): string {
   return `${name}:80`;
 }
 
-/** The settings of one controller. */
-export function platformOf(
+/** Returns the settings of one controller. */
+export function platformFor(
   name: string,
   { controllers, limits, zones, objectives }: RegionOptions,
 ): PlatformSettings {
@@ -87,7 +88,7 @@
     cloudAddress: CLOUD_ADDRESS,
     stateStoreAddress: STATE_STORE_ADDRESS,
     clusterSize: controllers.length,
-    zones: BOTH_ZONES,
+    zones: ZONES,
     clockErrorMs: 10,
     teams: [team("one"), team("two")],
     objectives,
--- a/test/fakes/rules/jobStatus.ts
+++ b/test/fakes/rules/jobStatus.ts
@@ -1,27 +1,27 @@
-/** The rules on what controllers report about a job to its user, and the state that its user knows from them. */
+/** The rules on the job phases that controllers report to users. */
 import type { SimClock } from "../clock.js";
 import type { FinalPhase, SimJob } from "../job.js";
 import { CANCEL_S } from "../region.js";
 import type { ReportViolation } from "./violations.js";
 
-/** A job about which no status query is answered for so long is forgotten. */
-const FORGOTTEN_MS = 75_000;
+/** Time without an answered status query after which a job counts as forgotten. */
+const FORGOTTEN_LIMIT_MS = 75_000;
 
-/** What the checkers of job statuses need from their world. */
+/** Dependencies of the job status rules. */
 export interface JobStatusRulesOptions {
   clock: SimClock;
-  /** Has the job tasks that run anywhere? */
+  /** Returns whether the job has live tasks on any worker. */
   hasLiveTasks: (jobId: string) => boolean;
-  /** From when on no fault disturbs the world any more. */
+  /** Returns the time from which no fault affects the world. */
   faultFreeFromMs: () => number;
   report: ReportViolation;
 }
 
-/** Checks each response about a job, and records the final phase that it reports. */
+/** Checks each response about a job and records the final phase that it reports. */
 export class JobStatusRules {
   constructor(private readonly options: JobStatusRulesOptions) {}
 
-  /** A controller reported that phase in its response to a request sent at `sentMs`. */
+  /** Checks a phase that a controller reported in response to a request sent at `sentMs`. */
   onPhase(job: SimJob, phase: string, sentMs: number): void {
     if (isOutdated(job, phase, sentMs)) return;
     this.checkWentBack(job, phase);
@@ -29,16 +29,16 @@
     if (isFinal(phase) && job.finalPhase === null) this.recordFinalPhase(job, phase);
   }
 
-  /** `forgotten`: an accepted job stays known; a response that denies it breaks the rule. */
-  onDenied(job: SimJob, detail: string | number): void {
+  /** `forgotten`: a response that treats an accepted job as unknown or invalid violates the rule. */
+  onAcceptanceDenied(job: SimJob, detail: string | number): void {
     if (job.isAccepted) this.options.report("forgotten", `${job.spec.ref}: ${detail}`);
   }
 
-  /** `forgotten`: each job's user gets an answer in time; that other jobs' queries are answered is no excuse. */
+  /** `forgotten`: status queries are answered in time for each job, independently of the queries for other jobs. */
   checkAnswered(job: SimJob): void {
     const nowMs = this.options.clock.nowMs();
     const sinceMs = Math.max(job.lastResponseAtMs, this.options.faultFreeFromMs());
-    if (nowMs - sinceMs <= FORGOTTEN_MS) return;
+    if (nowMs - sinceMs <= FORGOTTEN_LIMIT_MS) return;
     this.options.report(
       "forgotten",
       `${job.spec.ref}: no status query answered since ${job.lastResponseAtMs}`,
@@ -46,18 +46,18 @@
     job.lastResponseAtMs = nowMs;
   }
 
-  /** `went_back`: a final phase is never taken back, and nothing is cancelled that nobody cancelled. */
+  /** `went_back`: a final phase never changes, and no job is reported as cancelled without a cancellation request. */
   private checkWentBack(job: SimJob, phase: string): void {
     const { report } = this.options;
     if (job.finalPhase !== null && phase !== job.finalPhase) {
       report("went_back", `${job.spec.ref}: ${job.finalPhase} ${phase}`);
     }
     if (phase === "withdrawn" && !job.isCancelRequested) {
-      report("went_back", `${job.spec.ref}: nobody cancelled`);
+      report("went_back", `${job.spec.ref}: cancelled without a request`);
     }
   }
 
-  /** `not_done`: a job is reported done only once each of its tasks was completed. */
+  /** `not_done`: a job is reported as done only after each of its tasks has completed. */
   private checkNotDone(job: SimJob, phase: string): void {
     if (phase === "done" && job.doneTasks.size < job.spec.spores) {
       this.options.report("not_done", job.spec.ref);
@@ -70,7 +70,7 @@
     if (phase === "withdrawn") this.checkRanCancelledLater(job);
   }
 
-  /** `ran_cancelled`: no task of a cancelled job runs any more, `CANCEL_S` after its cancellation was confirmed. */
+  /** `ran_cancelled`: no task of a cancelled job is live `CANCEL_S` after the cancellation was confirmed. */
   private checkRanCancelledLater(job: SimJob): void {
     this.options.clock.after(CANCEL_S * 1000, () => {
       if (this.options.hasLiveTasks(job.spec.ref)) this.options.report("ran_cancelled", job.spec.ref);
@@ -78,7 +78,10 @@
   }
 }
 
-/** Asked before the final phase was reported and answered after: the answer may be the older one. */
+/**
+ * Whether the response may have been overtaken: its request was sent before the final phase was reported, and it
+ * reports a different phase.
+ */
 function isOutdated(job: SimJob, phase: string, sentMs: number): boolean {
   return job.finalPhase !== null && sentMs < job.finalPhaseAtMs && phase !== job.finalPhase;
 }
--- a/test/fakes/rules/ruleChecker.ts
+++ b/test/fakes/rules/ruleChecker.ts
@@ -1,4 +1,4 @@
-/** All rules of one simulated world: the world reports each event here, and breaches are collected. */
+/** The checker of all rules in a simulated world. The world reports its events to the checker. */
 import type { SimClock } from "../clock.js";
 import type { SimCloud } from "../cloud.js";
 import type { SimFleet } from "../fleet.js";
@@ -18,20 +18,20 @@
 } from "./taskStart.js";
 import type { RuleName, Violation } from "./violations.js";
 
-/** What the checkers look at. */
+/** The parts of the world that the rules inspect. */
 export interface RuleCheckerOptions {
   clock: SimClock;
   jobs: ReadonlyMap<string, SimJob>;
   fleet: SimFleet;
   cloud: SimCloud;
   limits: TeamLimits;
-  /** From when on no fault disturbs the world any more. */
+  /** Returns the time from which no fault affects the world. */
   faultFreeFromMs: () => number;
 }
 
-/** Runs each rule at its moment; a world has one. */
+/** Checks each rule when the events that it concerns occur, and collects the violations; each world has one checker. */
 export class RuleChecker {
-  /** Every breach so far, in order of time. */
+  /** All violations so far, in order of time. */
   readonly violations: Violation[] = [];
   readonly jobStatus: JobStatusRules;
 
@@ -44,19 +44,19 @@
     });
   }
 
-  /** From now on, also looks for jobs that wait and machines that are paid for in vain. */
+  /** Starts the periodic checks for jobs that wait despite free capacity and for machines that never start. */
   watchIdleCapacity(): void {
     const { clock, jobs, fleet, cloud, limits, faultFreeFromMs } = this.options;
     const report = (rule: RuleName, detail: string): void => this.report(rule, detail);
-    new IdleCapacityRules({ clock, jobs, fleet, cloud, limits, faultFreeFromMs, report }).start();
+    new IdleCapacityRules({ clock, jobs, fleet, cloud, limits, faultFreeFromMs, report }).checkPeriodically();
   }
 
-  /** Records a breach. */
+  /** Records a violation. */
   report(rule: RuleName, detail: string): void {
     this.violations.push({ rule, detail, atMs: this.options.clock.nowMs() });
   }
 
-  /** Checks the start of a task. */
+  /** Checks the rules on the start of a task; a task of a job that was never submitted violates `invented`. */
   onTaskStart(worker: SimWorker, task: SimTask): void {
     const { jobs, limits } = this.options;
     const fleet = this.options.fleet;
@@ -68,7 +68,7 @@
     const nowMs = this.options.clock.nowMs();
     job.firstStartAtMs ??= nowMs;
     const others = fleet.liveTasks(job.spec.ref).filter((other) => other.task !== task);
-    const start: TaskStart = { worker, task, job, others, nowMs };
+    const start: TaskStart = { worker, task, job, otherLiveTasks: others, nowMs };
     this.reportIfBroken("ran_twice", checkRanTwice(start));
     this.reportIfBroken("ran_cancelled", checkStartedCancelled(start));
     this.reportIfBroken("wrong_place", checkWrongPlace(start));
--- a/test/fakes/rules/violations.ts
+++ b/test/fakes/rules/violations.ts
@@ -1,6 +1,6 @@
-/** The report of the rules that were broken in a simulated world. Whoever sees one broken adds it; nothing removes it. */
+/** The violations of rules in a simulated world. A violation, once reported, is never removed. */
 
-/** The rules, each named as its checker is; the checker's doc comment says the rule. */
+/** The names of the rules; the doc comment of a rule's checker defines the rule. */
 export type RuleName =
   | "accepted_invalid"
   | "forgotten"
@@ -14,18 +14,18 @@
   | "went_back"
   | "wrong_place";
 
-/** One breach of a rule. */
+/** One violation of a rule. */
 export interface Violation {
   rule: RuleName;
-  /** The job, task or team that it concerns, and what was seen. */
+  /** The job, task, team, machine or request concerned, and what was observed. */
   detail: string;
   atMs: number;
 }
 
-/** Takes breaches from the checkers. */
+/** Records a violation that a checker found. */
 export type ReportViolation = (rule: RuleName, detail: string) => void;
 
-/** The breach in one line. */
+/** Formats the violation as one line. */
 export function formatViolation({ rule, detail }: Violation): string {
   return `${rule} ${detail}`;
 }
--- a/test/fakes/themedWork.ts
+++ b/test/fakes/scenarioWorkloads.ts
@@ -1,19 +1,19 @@
-/** Work that scenario tests add to a mixed day: each function submits jobs of one theme. */
+/** Workloads that scenario tests add to the mixed workload; each function submits jobs with one property under test. */
 import type { World } from "./world.js";
 
 const PRIORITIES = ["best_effort", "standard", "high", "prod"];
 
-/** Jobs whose tasks end one after the other, far apart. */
-export function submitTasksOfUnequalLength({ users }: World): void {
+/** Submits arrays whose tasks complete one after the other, 9 s apart. */
+export function submitArraysWithUnequalRunTimes({ users }: World): void {
   for (let i = 0; i < 8; i++) {
     const crew = i % 2 ? "one" : "two";
     const fields = { ref: `job-70000${i}`, crew, spores: 2 + (i % 2), cores: 1, memoryGb: 2 };
-    users.submit(fields, 3 + i).runStepS = 9;
+    users.submit(fields, 3 + i).runTimeStepS = 9;
   }
 }
 
-/** Arrays and gangs bound to a zone, by its name or by being together. */
-export function submitJobsBoundToZones({ users }: World): void {
+/** Submits arrays and gangs that have to run in one zone, either a named one or any single one. */
+export function submitZoneBoundJobs({ users }: World): void {
   for (let i = 0; i < 8; i++) {
     const binding = i % 2 ? { patch: i % 4 === 1 ? "a" : "b" } : { together: true };
     const crew = i % 3 ? "one" : "two";
@@ -23,7 +23,7 @@
   }
 }
 
-/** Work of both teams up to their limits, of all priorities, and far more than the machines hold. */
+/** Submits arrays of both teams and all priorities that exceed both the teams' limits and the machines' capacity. */
 export function submitOverload({ users }: World): void {
   for (let i = 0; i < 24; i++) {
     const crew = i % 2 ? "one" : "two";
--- a/test/fakes/seededRandom.ts
+++ b/test/fakes/seededRandom.ts
@@ -1,19 +1,21 @@
+/** Reproducible random choices, and digests of results, for tests on randomly generated snapshots. */
 import { createHash } from "node:crypto";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Draws that are the same on each run for the same seed. */
+/** A pseudorandom source whose sequence depends only on its seed. */
 export interface SeededRandom {
-  /** A whole number from 0 up to, but not including, `bound`. */
+  /** Returns an integer, uniform in [0, `bound`). */
   below(bound: number): number;
-  /** True with this probability. */
+  /** Returns true with the given probability. */
   chance(probability: number): boolean;
+  /** Returns a uniformly chosen element; the list must not be empty. */
   pick<Item>(items: readonly Item[]): Item;
 }
 
-/** A source of draws for randomly built snapshots. */
+/** Creates a source of random numbers for randomly generated snapshots. */
 export function seededRandom(seed: number): SeededRandom {
   const generator = xoroshiro128plus(seed);
-  // The first numbers are much alike for seeds that are near each other.
+  // Adjacent seeds produce correlated first outputs, so these are discarded.
   for (let i = 0; i < 8; i++) generator.next();
   const fraction = (): number => (generator.next() >>> 0) / 2 ** 32;
   return {
@@ -23,7 +25,10 @@
   };
 }
 
-/** A short digest of a result's values, without the names of fields, for tests that pin a decision on a large snapshot. */
+/**
+ * Returns a short digest of a result's values, excluding field names, for tests that pin a decision on a large
+ * snapshot.
+ */
 export function digestOf(result: unknown): string {
   return createHash("sha256").update(JSON.stringify(result, valuesOnly)).digest("hex").slice(0, 16);
 }
--- a/test/fakes/stateStore.ts
+++ b/test/fakes/stateStore.ts
@@ -1,18 +1,18 @@
 /**
- * A fake of the consensus-backed state store, by its published protocol: versioned entries, transactions on conditions,
- * leases and watches; with outages, hosts that it refuses, slow responses, and transactions carried out late. Names on
- * the wire are translated here and nowhere else.
+ * A fake of the consensus-backed state store that implements its published protocol: versioned entries, conditional
+ * transactions, leases and watches. It simulates outages, rejected hosts, slow responses and transactions that are
+ * applied late. Only this module translates the store's names on the wire.
  */
 import type { ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
 import type { SimNet, SimRequest } from "./net.js";
 
-/** An entry as it is stored. */
+/** A stored entry. */
 interface StoredEntry {
   value: unknown;
-  /** The revision that wrote it. */
+  /** Revision of the store that last wrote the entry. */
   version: number;
-  /** The entry is removed with this lease. */
+  /** Lease whose end removes the entry; absent if the entry is not attached to a lease. */
   leaseId?: number;
 }
 
@@ -21,7 +21,7 @@
   expiresAtMs: number;
 }
 
-/** A change in the store's log; watches are served from it. */
+/** A change in the store's log, from which watches are answered. */
 interface LoggedChange {
   revision: number;
   key: string;
@@ -29,7 +29,7 @@
   isRemoval: boolean;
 }
 
-/** A request that waits for changes after a revision. */
+/** A long-poll request that waits for changes after a revision. */
 interface Watch {
   prefix: string;
   afterRevision: number;
@@ -37,38 +37,39 @@
   isAnswered: boolean;
 }
 
-/** A condition of a transaction on the wire; version 0: no such entry. */
+/** A transaction's condition on the wire: the entry has the version `stamp`, or does not exist if that is 0. */
 interface WireCondition {
   path: string;
   stamp: number;
 }
 
-/** A change of a transaction on the wire. */
+/** A transaction's change on the wire. */
 type WireChange = { set: string; data: unknown; tenure?: number } | { drop: string };
 
 type Respond = (reply: ClientResponse) => void;
 
-/** A disturbance that ends by itself; `amount` is a share or a time. */
-interface Disturbance {
+/** A fault that ends at a given time; the meaning of `amount`, a share or a duration, depends on the fault. */
+interface TemporaryFault {
   amount: number;
   untilMs: number;
 }
 
-/** Most changes in a transaction. */
+/** Maximum number of changes in a transaction. */
 const MAX_CHANGES = 20;
-/** Most conditions in a transaction. */
+/** Maximum number of conditions in a transaction. */
 const MAX_CONDITIONS = 4 * MAX_CHANGES;
-/** Largest value, as JSON. */
+/** Maximum size of a value, encoded as JSON. */
 const MAX_VALUE_BYTES = 8 * 1024;
-/** Most entries in a page. */
+/** Maximum number of entries in a page. */
 const MAX_PAGE_ENTRIES = 1000;
-const EXPIRE_EVERY_MS = 50;
-/** A delayed transaction is carried out between this time after it came … */
+/** Interval between checks for expired leases. */
+const EXPIRY_CHECK_INTERVAL_MS = 50;
+/** Minimum delay after which a delayed transaction is applied. */
 const MIN_TRANSACTION_DELAY_MS = 2000;
-/** … and that much later. */
+/** Maximum random delay of a delayed transaction beyond the minimum. */
 const TRANSACTION_DELAY_SPREAD_MS = 10_000;
 
-/** The state store at its address. */
+/** The state store, which serves requests at its address. */
 export class SimStateStore {
   readonly entries = new Map<string, StoredEntry>();
   private readonly leases = new Map<number, Lease>();
@@ -78,8 +79,8 @@
   private nextLease = 1;
   private outageUntilMs = -Infinity;
   private readonly refusedUntilMs = new Map<string, number>();
-  private delayedTransactions: Disturbance = { amount: 0, untilMs: -Infinity };
-  private slowResponses: Disturbance = { amount: 0, untilMs: -Infinity };
+  private delayedTransactions: TemporaryFault = { amount: 0, untilMs: -Infinity };
+  private slowResponses: TemporaryFault = { amount: 0, untilMs: -Infinity };
 
   constructor(
     private readonly clock: SimClock,
@@ -93,7 +94,9 @@
     this.expirePeriodically();
   }
 
-  /** Answers every request with an error for that time; leases run out no sooner than their time to live after it. */
+  /**
+   * Answers every request with an error for `forMs`. The end of the outage renews all leases for their full duration.
+   */
   startOutage(forMs: number): void {
     this.outageUntilMs = this.clock.nowMs() + forMs;
     this.clock.after(forMs, () => {
@@ -101,17 +104,17 @@
     });
   }
 
-  /** Every response takes up to so much longer. */
+  /** Delays every response by a random time of up to `byMs`, for `forMs`. */
   delayResponses(byMs: number, forMs: number): void {
     this.slowResponses = { amount: byMs, untilMs: this.clock.nowMs() + forMs };
   }
 
-  /** That share of transactions gets no response and is carried out 2 to 12 s later. */
+  /** For `forMs`, leaves the given share of transactions unanswered and applies them 2 to 12 s later. */
   delayTransactions(share: number, forMs: number): void {
     this.delayedTransactions = { amount: share, untilMs: this.clock.nowMs() + forMs };
   }
 
-  /** Answers that host alone with errors. */
+  /** Answers one host with errors for `forMs`; other hosts are not affected. */
   refuseHost(host: string, forMs: number): void {
     this.refusedUntilMs.set(host, this.clock.nowMs() + forMs);
   }
@@ -123,17 +126,17 @@
     else respond(reply);
   }
 
-  private isOut(): boolean {
+  private isUnavailable(): boolean {
     return this.clock.nowMs() < this.outageUntilMs;
   }
 
   private expirePeriodically(): void {
     this.expireLeases();
-    this.clock.after(EXPIRE_EVERY_MS, () => this.expirePeriodically());
+    this.clock.after(EXPIRY_CHECK_INTERVAL_MS, () => this.expirePeriodically());
   }
 
   private expireLeases(): void {
-    if (this.isOut()) return;
+    if (this.isUnavailable()) return;
     const nowMs = this.clock.nowMs();
     for (const [id, lease] of this.leases) if (lease.expiresAtMs <= nowMs) this.endLease(id);
   }
@@ -156,14 +159,14 @@
     const changes = this.log.filter(
       ({ revision, key }) => revision > watch.afterRevision && key.startsWith(watch.prefix),
     );
-    if (watch.isAnswered || changes.length === 0 || this.isOut()) return;
+    if (watch.isAnswered || changes.length === 0 || this.isUnavailable()) return;
     watch.isAnswered = true;
     watch.respond({ status: 200, body: { ring: this.revision, news: changes.map(encodeLoggedChange) } });
   }
 
   private serve(request: SimRequest, respond: Respond, from: string): void {
     const refusedUntilMs = this.refusedUntilMs.get(from) ?? -Infinity;
-    if (this.isOut() || refusedUntilMs > this.clock.nowMs()) {
+    if (this.isUnavailable() || refusedUntilMs > this.clock.nowMs()) {
       respond({ status: 503, body: {} });
       return;
     }
@@ -173,7 +176,7 @@
     const body = (request.body ?? {}) as Record<string, unknown>;
     if (resource === "keys" && rest.length > 0) respond(this.read(rest.join("/")));
     else if (resource === "keys") respond(this.listPage(url.searchParams));
-    else if (resource === "commit") this.commitNowOrLate(body, respond);
+    else if (resource === "commit") this.commitOrDelay(body, respond);
     else if (resource === "changes") this.watch(url.searchParams, respond);
     else if (resource === "holds" && rest.length === 0) respond(this.openLease(Number(body.lifeMs)));
     else if (resource === "holds") respond(this.renewOrEndLease(request.method, Number(rest[0])));
@@ -224,7 +227,7 @@
     return lease ? { status: 200, body: {} } : { status: 404, body: {} };
   }
 
-  private commitNowOrLate(body: Record<string, unknown>, respond: Respond): void {
+  private commitOrDelay(body: Record<string, unknown>, respond: Respond): void {
     const { amount: share, untilMs } = this.delayedTransactions;
     const isLate = this.clock.nowMs() < untilMs && this.random() < share;
     if (!isLate) {
@@ -243,7 +246,7 @@
       .filter(({ path, stamp }) => (this.entries.get(path)?.version ?? 0) !== stamp)
       .map(({ path }) => path);
     if (failed.length > 0) return { status: 409, body: { failed, ring: this.revision } };
-    if (changes.some((change) => this.namesEndedLease(change))) {
+    if (changes.some((change) => this.refersToEndedLease(change))) {
       return { status: 400, body: { error: "no such lease" } };
     }
     this.revision++;
@@ -252,7 +255,7 @@
     return { status: 200, body: { ring: this.revision } };
   }
 
-  private namesEndedLease(change: WireChange): boolean {
+  private refersToEndedLease(change: WireChange): boolean {
     return "set" in change && change.tenure !== undefined && !this.leases.has(change.tenure);
   }
 
--- a/test/fakes/taskRunner.ts
+++ b/test/fakes/taskRunner.ts
@@ -1,67 +1,70 @@
 /**
- * The tasks on one fake worker: it starts, stops and removes them as commanded, waits with a gang's tasks until all
- * members have their image, and keeps the results of completed tasks.
+ * The task runner of a fake worker. It starts, stops and removes tasks as commanded, runs a gang's tasks only once all
+ * members have fetched their image, and keeps the results of completed tasks.
  */
 import type { SimClock } from "./clock.js";
 import { jobIdOf } from "./job.js";
 
-/** Why a task ended, in the names of the workers' interface. */
+/** The cause of a task's exit, as named in the worker API. */
 export type TaskExitCause = "done" | "stopped" | "peers" | "error" | "in_use";
 
 /** One attempt of a task on a worker. */
 export interface SimTask {
-  /** `job/index`. */
+  /** Task name of the form `job/index`. */
   name: string;
   attempt: number;
-  /** "gathering": it waits for the other members of its gang. */
+  /** Current phase; a task in "gathering" waits for the other members of its gang. */
   phase: "fetching" | "gathering" | "running" | "exited";
+  /** The cause of the exit; absent unless the task has exited. */
   cause?: TaskExitCause;
 }
 
-/** A command on the wire. */
+/** A command as encoded on the wire. */
 export interface WireCommand {
   verb: string;
   spore: string;
   sprout: number;
 }
 
-/** A task of a gang, and who runs it. */
+/** A task of a gang and the runner that executes it. */
 export interface GangMember {
   runner: SimTaskRunner;
   task: SimTask;
 }
 
-/** The worker as its tasks see it, and what they ask of the world through it. */
+/** The task runner's interface to its worker and, through the worker, to the world. */
 export interface TaskHost {
   clock: SimClock;
   isAlive: () => boolean;
   epoch: () => number;
-  /** Runs at once or, when the worker hangs, as it goes on; never once the worker is dead. */
+  /** Runs the callback immediately or, if the worker hangs, when it resumes; never after the worker was killed. */
   whenResponsive: (run: () => void) => void;
-  /** A task has changed: the controllers should know soon. */
+  /** Called when a task's state has changed, so that a heartbeat reports it soon. */
   onChange: () => void;
   onTaskStart: (task: SimTask) => void;
   onTaskEnd: (task: SimTask) => void;
-  /** Seconds that the task runs; null: until it is stopped. */
-  runS: (taskName: string) => number | null;
+  /** Returns the task's run time, in seconds; null if it runs until it is stopped. */
+  runTimeS: (taskName: string) => number | null;
   failsTask: (taskName: string) => boolean;
+  /** Returns the number of members of the job's gang; 1 if the job is not a gang. */
   gangSize: (jobId: string) => number;
-  /** All members of this gang attempt that have their image, on any worker. */
+  /** Returns the members of the gang attempt that have fetched their image, on all workers. */
   gangMembers: (jobId: string, attempt: number) => GangMember[];
 }
 
+/** Time that fetching an image takes. */
 const FETCH_IMAGE_MS = 700;
 
-/** Holds one worker's tasks; other runners' gang members are reached through the host. */
+/** Owns the tasks of one worker; it reaches gang members on other workers through the host. */
 export class SimTaskRunner {
-  /** By name and attempt; a task that exited stays until its removal is commanded. */
+  /** Tasks by name and attempt; an exited task remains until its removal is commanded. */
   readonly tasks = new Map<string, SimTask>();
-  /** Results of completed tasks, which outlive the lease. */
+  /** Names of the completed tasks, whose results are kept beyond the end of a lease. */
   private readonly doneTasks = new Set<string>();
 
   constructor(private readonly host: TaskHost) {}
 
-  /** Carries out commands in their order; those that no longer apply are ignored. */
+  /** Executes commands in order and ignores those that do not apply to the task's current state. */
   execute(commands: WireCommand[]): void {
     for (const command of commands) {
       const name = String(command.spore);
@@ -74,7 +77,7 @@
     }
   }
 
-  /** Ends and forgets all tasks, as at the end of a lease. */
+  /** Ends and removes all tasks, as required when a lease expires. */
   endAll(): void {
     for (const task of this.tasks.values()) if (task.phase !== "exited") this.host.onTaskEnd(task);
     this.tasks.clear();
@@ -124,16 +127,16 @@
     const key = taskKey(task.name, task.attempt);
     task.phase = "running";
     this.host.onChange();
-    const runS = this.host.runS(task.name);
-    if (runS === null) return;
-    this.host.clock.after(runS * 1000, () =>
+    const runTimeS = this.host.runTimeS(task.name);
+    if (runTimeS === null) return;
+    this.host.clock.after(runTimeS * 1000, () =>
       this.host.whenResponsive(() => {
         if (this.isCurrent(key, task) && task.phase === "running") this.complete(key, task);
       }),
     );
   }
 
-  /** A gang completes together; one that has lost a member doesn't. */
+  /** Completes all members of a gang together; if a member is missing, this task exits with the cause "peers". */
   private complete(key: string, task: SimTask): void {
     const jobId = jobIdOf(task.name);
     const size = this.host.gangSize(jobId);
--- a/test/fakes/users.ts
+++ b/test/fakes/users.ts
@@ -1,6 +1,6 @@
 /**
- * The users of a simulated region: they submit jobs, query their status, cancel and resubmit them, and repeat what was
- * not answered. Every response goes to the checkers of the rules.
+ * The users of a simulated region. They submit, query, cancel and resubmit jobs, and retry failed submissions and
+ * cancellations. The rule checkers check every response.
  */
 import type { ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
@@ -11,41 +11,41 @@
 import type { JobStatusRules } from "./rules/jobStatus.js";
 import type { ReportViolation } from "./rules/violations.js";
 
-/** Users query the status of each job this often. */
-export const QUERY_EVERY_MS = 2500;
-/** A request that failed is repeated this much later. */
-const RETRY_MS = 1000;
+/** Interval between the status queries for each job. */
+export const STATUS_QUERY_INTERVAL_MS = 2500;
+/** Delay before a failed request is retried. */
+const RETRY_DELAY_MS = 1000;
 const REQUEST_TIMEOUT_MS = 5000;
 const JOBS_PATH = "/v1/jobs";
-/** From this status on, a response says that the request can't be decided at the moment. */
+/** The lowest HTTP status that means that the request was not decided and may be retried. */
 const FIRST_UNDECIDED_STATUS = 429;
 
-/** A submission that must be refused with that status. */
+/** The HTTP status with which an invalid submission must be rejected. */
 export type RefusalStatus = 400 | 422;
 
-/** What the users need from their world. */
+/** Dependencies of the simulated users. */
 export interface SimUsersOptions {
   clock: SimClock;
   net: SimNet;
   random: () => number;
   controllers: SimControllers;
-  /** All jobs; users add theirs. */
+  /** All jobs, by id; submissions are added to it. */
   jobs: Map<string, SimJob>;
   jobStatusRules: JobStatusRules;
   report: ReportViolation;
 }
 
-/** A request to any controller or, with `at`, to that one. */
+/** A request to the controller with the given name or, if that is absent, to a random running one. */
 interface UserRequest {
   method: "GET" | "POST";
   path: string;
   body?: unknown;
-  at?: string | undefined;
+  controller?: string | undefined;
 }
 
 type OnReply = (reply: ClientResponse, sentMs: number) => void;
 
-/** What a submission leaves out. */
+/** Defaults for the fields that a submission does not specify. */
 const DEFAULT_SUBMISSION: Omit<JobSubmission, "ref" | "guessS"> = {
   strain: "s",
   crew: "one",
@@ -64,70 +64,78 @@
   stashS: 0,
 };
 
-/** All users together; each job has one that queries it for ever. */
+/** All users of the region. From its acceptance on, each job's status is queried periodically until the run ends. */
 export class SimUsers {
-  /** Services that are accepted from now on are cancelled at once. */
+  /** Whether services are cancelled as soon as they are accepted. */
   cancelsNewServices = false;
-  /** Jobs that faults have submitted so far; it numbers the next one. */
+  /** Number of jobs that faults have submitted so far, from which the next one's id is derived. */
   faultJobCount = 0;
 
   constructor(private readonly options: SimUsersOptions) {}
 
-  /** By id, in order of submission. */
+  /** All jobs by id, in order of submission. */
   get jobs(): ReadonlyMap<string, SimJob> {
     return this.options.jobs;
   }
 
-  /** Sends a request to that controller, or to one that runs; rejects when none answers in time. */
-  request(method: string, path: string, body?: unknown, at?: string): Promise<ClientResponse> {
+  /**
+   * Sends a request to `controller` or to a random running one. The promise is rejected if no response arrives in
+   * time.
+   */
+  request(method: string, path: string, body?: unknown, controller?: string): Promise<ClientResponse> {
     const { running, names } = this.options.controllers;
-    const name = at ?? running[Math.floor(this.options.random() * running.length)] ?? names[0]!;
+    const name = controller ?? running[Math.floor(this.options.random() * running.length)] ?? names[0]!;
     return this.options.net
       .caller(USER_ADDRESS, () => true)
       .call(controllerAddress(name), method, path, body, REQUEST_TIMEOUT_MS);
   }
 
-  /** Submits a job until it is accepted or refused, then queries its status for ever. `runS` null: it never ends. */
-  submit(fields: Partial<JobSubmission> & { ref: string }, runS: number | null): SimJob {
-    const spec: JobSubmission = { ...DEFAULT_SUBMISSION, guessS: runS ?? 0, ...fields };
-    const job = newJob(spec, runS, this.options.clock.nowMs());
+  /**
+   * Submits a job, retrying until it is accepted or rejected; once it is accepted, queries its status periodically.
+   * With a `runTimeS` of null, its tasks run until the job is cancelled.
+   */
+  submit(fields: Partial<JobSubmission> & { ref: string }, runTimeS: number | null): SimJob {
+    const spec: JobSubmission = { ...DEFAULT_SUBMISSION, guessS: runTimeS ?? 0, ...fields };
+    const job = newJob(spec, runTimeS, this.options.clock.nowMs());
     this.options.jobs.set(spec.ref, job);
     this.submitUntilAnswered(job);
     return job;
   }
 
-  /** Cancels a job, through that controller or any, until the cancellation is confirmed. */
-  cancel(job: SimJob, at?: string): void {
+  /** Cancels a job through `controller` or any running one, retrying until the cancellation is confirmed. */
+  cancel(job: SimJob, controller?: string): void {
     job.isCancelRequested = true;
-    this.cancelUntilConfirmed(job, at);
+    this.cancelUntilConfirmed(job, controller);
   }
 
-  /** Cancels what would run for ever. */
+  /** Cancels all jobs that run until they are cancelled. */
   cancelServices(): void {
     for (const job of this.jobs.values()) {
-      if (job.runS === null && job.isAccepted && !job.isCancelRequested) this.cancel(job);
+      if (job.runTimeS === null && job.isAccepted && !job.isCancelRequested) this.cancel(job);
     }
   }
 
-  /** Submits the job again as it was: whatever became of it, the response must say so (`forgotten`). */
+  /** Resubmits the job unchanged. The response must report the job's current phase, not a new job (`forgotten`). */
   resubmit(job: SimJob): void {
     const { report, jobStatusRules } = this.options;
     this.send({ method: "POST", path: JOBS_PATH, body: job.spec }, (reply, sentMs) => {
       if (isRefusal(reply)) report("forgotten", `${job.spec.ref}: ${reply.status}`);
-      if (reply.status === 201) jobStatusRules.onDenied(job, "accepted anew");
+      if (reply.status === 201) jobStatusRules.onAcceptanceDenied(job, "accepted anew");
       if (reply.status === 200) this.onPhase(job, reply, sentMs);
     });
   }
 
-  /** Queries the job's status once, besides the periodic queries. */
+  /** Queries the job's status once, in addition to the periodic queries. */
   queryStatus(job: SimJob): void {
     this.send({ method: "GET", path: pathOf(job) }, (reply, sentMs) => {
-      if (reply.status === 404) this.options.jobStatusRules.onDenied(job, "not found");
+      if (reply.status === 404) this.options.jobStatusRules.onAcceptanceDenied(job, "not found");
       if (reply.status === 200) this.onPhase(job, reply, sentMs);
     });
   }
 
-  /** `accepted_invalid`: what can't be accepted is refused with that status, unless no controller can decide now. */
+  /**
+   * `accepted_invalid`: an invalid submission is rejected with the given status, unless the request was not decided.
+   */
   submitInvalid(status: RefusalStatus, body: unknown): void {
     this.send({ method: "POST", path: JOBS_PATH, body }, (reply) => {
       if (reply.status === status || reply.status >= FIRST_UNDECIDED_STATUS) return;
@@ -136,8 +144,8 @@
     });
   }
 
-  /** Ids of the accepted jobs whose users know no final phase. */
-  unfinishedJobs(): string[] {
+  /** Returns the ids of the accepted jobs for which no final phase was reported. */
+  unfinishedJobIds(): string[] {
     return [...this.jobs.values()]
       .filter((job) => job.isAccepted && job.finalPhase === null)
       .map((job) => job.spec.ref);
@@ -150,7 +158,7 @@
       request,
       (reply, sentMs) => {
         if (reply.status === 201 || reply.status === 200) this.onAccepted(job, reply, sentMs);
-        else if (isRefusal(reply)) this.options.jobStatusRules.onDenied(job, reply.status);
+        else if (isRefusal(reply)) this.options.jobStatusRules.onAcceptanceDenied(job, reply.status);
         else retry();
       },
       retry,
@@ -160,14 +168,14 @@
   private onAccepted(job: SimJob, reply: ClientResponse, sentMs: number): void {
     job.isAccepted = true;
     this.onPhase(job, reply, sentMs);
-    this.queryLater(job);
+    this.scheduleStatusQuery(job);
     if (this.cancelsNewServices && job.spec.form === "standing") this.cancel(job);
   }
 
-  private cancelUntilConfirmed(job: SimJob, at?: string): void {
-    const retry = (): void => this.retryLater(() => this.cancelUntilConfirmed(job, at));
+  private cancelUntilConfirmed(job: SimJob, controller?: string): void {
+    const retry = (): void => this.retryLater(() => this.cancelUntilConfirmed(job, controller));
     this.send(
-      { method: "POST", path: `${pathOf(job)}/cancel`, at },
+      { method: "POST", path: `${pathOf(job)}/cancel`, controller },
       (reply, sentMs) => {
         if (reply.status === 200) this.onPhase(job, reply, sentMs);
         else retry();
@@ -176,16 +184,16 @@
     );
   }
 
-  private queryLater(job: SimJob): void {
+  private scheduleStatusQuery(job: SimJob): void {
     const queryAgain = (): void => {
       this.options.jobStatusRules.checkAnswered(job);
-      this.queryLater(job);
+      this.scheduleStatusQuery(job);
     };
-    this.options.clock.after(QUERY_EVERY_MS, () =>
+    this.options.clock.after(STATUS_QUERY_INTERVAL_MS, () =>
       this.send(
         { method: "GET", path: pathOf(job) },
         (reply, sentMs) => {
-          if (reply.status === 404) this.options.jobStatusRules.onDenied(job, "not found");
+          if (reply.status === 404) this.options.jobStatusRules.onAcceptanceDenied(job, "not found");
           if (reply.status === 200) {
             job.lastResponseAtMs = this.options.clock.nowMs();
             this.onPhase(job, reply, sentMs);
@@ -203,21 +211,21 @@
   }
 
   private retryLater(run: () => void): void {
-    this.options.clock.after(RETRY_MS, run);
+    this.options.clock.after(RETRY_DELAY_MS, run);
   }
 
   private send(request: UserRequest, onReply: OnReply, onFailure: () => void = () => undefined): void {
     const sentMs = this.options.clock.nowMs();
-    const { method, path, body, at } = request;
-    this.request(method, path, body, at).then((reply) => onReply(reply, sentMs), onFailure);
+    const { method, path, body, controller } = request;
+    this.request(method, path, body, controller).then((reply) => onReply(reply, sentMs), onFailure);
   }
 }
 
-function newJob(spec: JobSubmission, runS: number | null, nowMs: number): SimJob {
+function newJob(spec: JobSubmission, runTimeS: number | null, nowMs: number): SimJob {
   return {
     spec,
-    runS,
-    runStepS: 0,
+    runTimeS,
+    runTimeStepS: 0,
     submittedAtMs: nowMs,
     isAccepted: false,
     finalPhase: null,
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,6 +1,6 @@
 /**
- * A fake worker, by its published protocol: it sends heartbeats, carries out commands of the highest fencing token, and
- * stops everything when its lease expires.
+ * A fake worker that implements the published worker protocol: it sends heartbeats, executes commands that carry at
+ * least the highest fencing token it has seen, and stops all tasks when its lease expires.
  */
 import type { HttpCaller, ClientResponse } from "../../src/transport/httpClient.js";
 import type { SimClock } from "./clock.js";
@@ -8,34 +8,35 @@
 import type { SimNet, SimRequest } from "./net.js";
 import { SimTaskRunner, type SimTask, type TaskHost, type WireCommand } from "./taskRunner.js";
 
-/** A task and the worker that it is on. */
+/** A task and the worker that runs it. */
 export interface PlacedTask {
   worker: SimWorker;
   task: SimTask;
 }
 
-/** What a worker asks of its world, and what it reports to the checkers of the rules. */
+/** A worker's queries about jobs and its notifications to the rule checkers. */
 export interface WorkerEvents {
-  /** Seconds that the task runs; null: until it is stopped. */
-  runS: (taskName: string) => number | null;
+  /** Returns the task's run time, in seconds; null if it runs until it is stopped. */
+  runTimeS: (taskName: string) => number | null;
+  /** Returns the number of members of the job's gang; 1 if the job is not a gang. */
   gangSize: (jobId: string) => number;
-  /** A task starts to fetch its image. */
+  /** Called when a task starts to fetch its image. */
   onTaskStart: (worker: SimWorker, task: SimTask) => void;
-  /** A task has ended, for whatever cause; its state is still readable. */
+  /** Called when a task has ended for any cause; its state can still be read. */
   onTaskEnd: (task: SimTask) => void;
-  /** All members of this gang attempt that have their image, on any worker. */
+  /** Returns the members of the gang attempt that have fetched their image, on all workers. */
   gangMembers: (jobId: string, attempt: number) => PlacedTask[];
-  /** Does the task fail when it starts there? */
+  /** Returns whether the task fails on the worker once its image is fetched. */
   failsTask: (worker: SimWorker, taskName: string) => boolean;
 }
 
-/** A controller that takes heartbeats. */
+/** A controller and the address to which it takes heartbeats. */
 export interface ControllerAddress {
   name: string;
   address: string;
 }
 
-/** What a fake worker needs from its world. */
+/** Dependencies and settings of a fake worker. */
 export interface SimWorkerOptions {
   clock: SimClock;
   net: SimNet;
@@ -46,16 +47,16 @@
   events: WorkerEvents;
 }
 
-/** How often the worker looks whether its lease has expired or a heartbeat is due. */
-const CHECK_EVERY_MS = 20;
-/** Least time between two heartbeats that a change of a task brings about. */
+/** Interval between checks for an expired lease or a heartbeat that is due. */
+const CHECK_INTERVAL_MS = 20;
+/** Minimum time between the previous heartbeat and one that a task's state change triggers. */
 const MIN_HEARTBEAT_GAP_MS = 500;
-/** A response that takes longer than this does not extend the lease. */
+/** Timeout of a heartbeat; a response that takes longer does not renew the lease. */
 const RESPONSE_TIMEOUT_MS = 4000;
-/** After a failed heartbeat, the next controller is tried this much later. */
-const RETRY_MS = 1000;
+/** Delay after a failed heartbeat until the next controller is tried. */
+const RETRY_DELAY_MS = 1000;
 
-/** A worker process on its machine, from boot to `kill`. */
+/** The worker process of a machine, from its boot until `kill`. */
 export class SimWorker {
   readonly taskRunner: SimTaskRunner;
   private readonly http: HttpCaller;
@@ -69,7 +70,7 @@
   private isHeartbeatPending = false;
   private nextHeartbeatMs = 0;
   private lastHeartbeatMs = -Infinity;
-  /** The lease counts from the sending of the last heartbeat that got a response. */
+  /** Start of the current lease: the time at which the last acknowledged heartbeat was sent. */
   private leaseStartMs: number;
 
   constructor(
@@ -88,24 +89,26 @@
     this.checkPeriodically();
   }
 
-  /** By name and attempt, with those that exited and whose removal was not commanded yet. */
+  /** Tasks by name and attempt, including exited ones whose removal was not commanded yet. */
   get tasks(): ReadonlyMap<string, SimTask> {
     return this.taskRunner.tasks;
   }
 
-  /** The machine stops, with all that runs on it. */
+  /** Stops the machine and ends all its tasks. */
   kill(): void {
     this.isAlive = false;
     this.options.net.close(this.machine.address);
     this.taskRunner.endAll();
   }
 
-  /** Commands sent straight to it are lost for that time; its heartbeats and their responses are not. */
+  /** Drops directly sent commands for `forMs`; heartbeats and the commands in their responses are still exchanged. */
   dropCommands(forMs: number): void {
     this.commandsLostUntilMs = this.nowMs() + forMs;
   }
 
-  /** It does nothing for that time, though its lease runs on; then it goes on with all that came in meanwhile. */
+  /**
+   * Suspends the worker for `forMs` while its lease continues to run; it processes the input of that time afterwards.
+   */
   hang(forMs: number): void {
     this.hungUntilMs = this.nowMs() + forMs;
   }
@@ -117,10 +120,10 @@
       isAlive: () => this.isAlive,
       epoch: () => this.epoch,
       whenResponsive: (run) => this.whenResponsive(run),
-      onChange: () => this.heartbeatSoon(),
+      onChange: () => this.scheduleEarlyHeartbeat(),
       onTaskStart: (task) => events.onTaskStart(this, task),
       onTaskEnd: events.onTaskEnd,
-      runS: events.runS,
+      runTimeS: events.runTimeS,
       failsTask: (taskName) => events.failsTask(this, taskName),
       gangSize: events.gangSize,
       gangMembers: (jobId, attempt) =>
@@ -147,19 +150,19 @@
 
   private checkPeriodically(): void {
     if (!this.isAlive) return;
-    this.options.clock.after(CHECK_EVERY_MS, () => this.checkPeriodically());
-    // Its lease expires while it hangs, too: it may go on only within its lease.
+    this.options.clock.after(CHECK_INTERVAL_MS, () => this.checkPeriodically());
+    // The lease can expire while the worker hangs, so it is checked first: tasks may continue only within the lease.
     this.checkLease();
     if (this.nowMs() < this.hungUntilMs) return;
     if (!this.isHeartbeatPending && this.nowMs() >= this.nextHeartbeatMs) this.sendHeartbeat();
   }
 
-  private heartbeatSoon(): void {
+  private scheduleEarlyHeartbeat(): void {
     const earliestMs = Math.max(this.nowMs(), this.lastHeartbeatMs + MIN_HEARTBEAT_GAP_MS);
     this.nextHeartbeatMs = Math.min(this.nextHeartbeatMs, earliestMs);
   }
 
-  /** The heartbeat's body, in the names of the workers' interface. */
+  /** Returns the heartbeat's body, with the field names of the worker API. */
   private encodeHeartbeat(): Record<string, unknown> {
     return {
       tuft: this.machine.id,
@@ -203,7 +206,7 @@
 
   private tryNextController(): void {
     this.controllerIndex = (this.controllerIndex + 1) % this.options.controllers.length;
-    this.nextHeartbeatMs = this.nowMs() + RETRY_MS;
+    this.nextHeartbeatMs = this.nowMs() + RETRY_DELAY_MS;
   }
 
   private onHeartbeatResponse(reply: ClientResponse, sentMs: number, sentInEpoch: number): void {
@@ -233,7 +236,7 @@
     this.nextHeartbeatMs = this.nowMs();
   }
 
-  /** Commands sent straight to it, and requests for its state. */
+  /** Handles directly sent commands and requests for the worker's state. */
   private serve(request: SimRequest): ClientResponse {
     this.checkLease();
     if (request.path !== "/commands") return { status: 200, body: this.encodeHeartbeat() };
@@ -249,7 +252,7 @@
   private execute(fencingToken: number, commands: WireCommand[]): void {
     if (fencingToken > this.fencingToken) {
       this.fencingToken = fencingToken;
-      this.heartbeatSoon();
+      this.scheduleEarlyHeartbeat();
     }
     this.taskRunner.execute(commands);
   }
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -1,7 +1,7 @@
 /**
- * A whole region on a simulated clock and network: controllers, workers, cloud, state store and users, with every rule
- * of the protocol checked. The same seed gives the same run, as long as all parts draw their random numbers in the same
- * order.
+ * A simulated region: controllers, workers, cloud, state store and users on one simulated clock and network, with every
+ * rule of the protocol checked. A run is reproducible from its seed, provided that all components draw random numbers
+ * in the same order.
  */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { PlatformSettings } from "../../src/settings/platform.js";
@@ -30,25 +30,25 @@
 import type { SimTask } from "./taskRunner.js";
 import type { SimWorker } from "./worker.js";
 
-/** What tests may vary; everything else is the region of `region.ts`. */
+/** The parameters of a world that tests can vary; `region.ts` defines all others. */
 export interface WorldOptions {
-  /** Number of controllers; 3 unless given. */
+  /** Number of controllers; the default is 3. */
   controllerCount?: number;
-  /** Each controller's zone; all in "a" unless given. */
+  /** Zone of each controller; the default is "a" for all. */
   zones?: string[];
-  /** Machines that the cloud has; 12 unless given. */
+  /** Maximum number of machines that the cloud provides at a time; the default is 12. */
   capacity?: number;
   limits?: TeamLimits;
   objectives?: PlatformSettings["objectives"];
 }
 
-/** After a fault's end, this much is allowed until everything is as before. */
-const SETTLE_MS = 10_000;
+/** Time that the region may take to recover after a fault ends. */
+const RECOVERY_ALLOWANCE_MS = 10_000;
 
-/** A running region; time passes only in `run` and `runUntilFaultFree`. */
+/** A running region. Simulated time advances only in `run` and `runUntilFaultFree`. */
 export class World {
   readonly clock = new SimClock();
-  /** The one source of random numbers, uniform in [0, 1). */
+  /** The world's only source of random numbers, uniform in [0, 1). */
   readonly random: () => number;
   readonly net: SimNet;
   readonly stateStore: SimStateStore;
@@ -56,13 +56,13 @@
   readonly fleet: SimFleet;
   readonly controllers: SimControllers;
   readonly users: SimUsers;
-  /** How many tasks have started so far. */
+  /** Number of task starts so far. */
   startedTasks = 0;
-  /** Called at each start of a task, before the rules are checked. */
+  /** Called on each task start, before the rules are checked. */
   onTaskStart: (worker: SimWorker, task: SimTask) => void = () => undefined;
-  /** Called at each end of a task, before any controller knows of it. */
+  /** Called on each task end, before any controller learns of it. */
   onTaskEnd: (job: SimJob, task: SimTask) => void = () => undefined;
-  /** From then on no fault disturbs the world any more. */
+  /** Time from which no fault affects the world; rules that tolerate faults apply from then on. */
   faultFreeFromMs = 0;
   private readonly jobs = new Map<string, SimJob>();
   private readonly rules: RuleChecker;
@@ -91,27 +91,27 @@
     this.rules.watchIdleCapacity();
   }
 
-  /** The rules that were broken so far. */
+  /** The rule violations so far, in order of time. */
   get violations(): Violation[] {
     return this.rules.violations;
   }
 
-  /** The present leader; null: nobody holds the leadership. */
+  /** Name of the controller that holds the leadership, or null if none does. */
   get leader(): string | null {
     return this.controllers.leader;
   }
 
-  /** A fault may last that long, beyond others: `faultFreeFromMs` comes no sooner than a while after it. */
-  expectFaultsFor(forMs: number): void {
-    this.faultFreeFromMs = Math.max(this.faultFreeFromMs, this.clock.nowMs() + forMs + SETTLE_MS);
+  /** Moves `faultFreeFromMs` to at least the recovery allowance after a fault that lasts `forMs` from now. */
+  extendFaultPeriod(forMs: number): void {
+    this.faultFreeFromMs = Math.max(this.faultFreeFromMs, this.clock.nowMs() + forMs + RECOVERY_ALLOWANCE_MS);
   }
 
-  /** Lets simulated time pass, with all that is due in it. */
+  /** Advances simulated time and runs every timer that becomes due. */
   async run(seconds: number): Promise<void> {
     await this.clock.advance(seconds * 1000);
   }
 
-  /** Runs until the last fault is over, if that is still to come. */
+  /** Advances to `faultFreeFromMs`; does nothing if that time has passed. */
   async runUntilFaultFree(): Promise<void> {
     await this.run(Math.max(0, this.faultFreeFromMs - this.clock.nowMs()) / 1000);
   }
@@ -146,7 +146,7 @@
       types: MACHINE_TYPES,
       listLagMs: LIST_LAG_S * 1000,
       onBoot: (machine) => fleet.startWorker(machine),
-      onGone: (machine) => fleet.endWorker(machine),
+      onTerminated: (machine) => fleet.killWorker(machine),
     });
     cloud.capacity = capacity;
     return cloud;
--- a/test/networkPartition.test.ts
+++ b/test/networkPartition.test.ts
@@ -3,8 +3,8 @@
 import { World } from "./fakes/world.js";
 
 /**
- * Machines behind a partition are there when it ends. Their leases expire, so that the leader takes them for empty; that
- * once counted as idle, and all of them were scaled in a moment before the partition was over.
+ * Guards against scaling in machines behind a partition. Their leases expire, so the leader considers them empty; they
+ * once counted as idle for that reason, and all were scaled in shortly before the partition ended.
  */
 test("a zone that is partitioned off for longer than a lease keeps its machines", async () => {
   const world = new World(77);
@@ -22,7 +22,7 @@
     .map((worker) => worker.machine)
     .filter((machine) => machine.zone === "b");
   assert.ok(machines.length >= 3, `machines in the zone: ${machines.length}`);
-  // Whatever boots there meanwhile is behind the partition, too.
+  // The filter also covers machines that boot in the zone during the partition.
   const inZone = world.fleet.zoneHosts("b");
   world.net.partition(inZone, (host) => !inZone(host), 38_000);
   await world.run(37);
@@ -30,21 +30,28 @@
   await world.run(20);
   assert.deepEqual(world.violations, []);
   for (let index = 0; index < 8; index++)
-    assert.equal(world.fleet.liveTasks(`job-00000${index}`).length, 2, "both replicas run again");
+    assert.equal(
+      world.fleet.liveTasks(`job-00000${index}`).length,
+      2,
+      "both replicas of the service run again",
+    );
 });
 
-/** A new leader scaled machines in at once as never come up, by their age in the cloud's list, before their heartbeats came. */
-test("a new leader keeps machines that came up for the last one and are cut off at the moment", async () => {
+/**
+ * Guards against a new leader scaling in machines that are up. It once judged by their age in the cloud's list that
+ * they had never started, before their heartbeats arrived.
+ */
+test("a new leader keeps machines that started under its predecessor and are partitioned off at present", async () => {
   const world = new World(80, { controllerCount: 5 });
   await world.run(3);
   const spec = { form: "standing", rank: "prod", spores: 4, cores: 2, memoryGb: 4, windfall: false };
   const job = world.users.submit({ ref: "job-000001", ...spec }, null);
-  // Longer than any boot may take.
+  // Longer than the time limit for any boot.
   await world.run(70);
-  const [ref] = [...world.fleet.workers].find(([, worker]) => worker.tasks.size > 0)!;
+  const [machineId] = [...world.fleet.workers].find(([, worker]) => worker.tasks.size > 0)!;
   world.users.cancel(job);
   await world.run(6);
-  const { address } = world.fleet.workers.get(ref)!.machine;
+  const { address } = world.fleet.workers.get(machineId)!.machine;
   world.net.partition(
     (host) => host === address,
     () => true,
@@ -52,38 +59,44 @@
   );
   world.controllers.names.forEach((name) => world.controllers.crash(name, 500));
   await world.run(11);
-  assert.ok(world.cloud.machines.has(ref), `${ref} still exists`);
+  assert.ok(world.cloud.machines.has(machineId), `${machineId} still exists`);
   assert.deepEqual(world.violations, []);
 });
 
 /**
- * Inside a zone that is partitioned off its controllers go on acknowledging, so that what runs there outlives the partition;
- * but no longer than a cancellation may take, for its stops can't come in either (rule `ran_cancelled`).
+ * Controllers inside a partitioned zone keep acknowledging heartbeats, so that tasks in the zone survive the partition.
+ * They stop after the time that a cancellation may take, because stop commands cannot reach the zone either (rule
+ * `ran_cancelled`).
  */
-const partitions: {
+const partitionCases: {
   name: string;
   durationS: number;
   isLeaderInside: boolean;
   leaderCrashAfterS?: number;
   survives: boolean;
 }[] = [
-  { name: "for longer than a lease", durationS: 17, isLeaderInside: false, survives: true },
-  { name: "with the leader in it", durationS: 17, isLeaderInside: true, survives: true },
   {
-    name: "while the leader outside crashes",
+    name: "its tasks survive a partition that is longer than a lease",
+    durationS: 17,
+    isLeaderInside: false,
+    survives: true,
+  },
+  { name: "its tasks survive if the leader is inside", durationS: 17, isLeaderInside: true, survives: true },
+  {
+    name: "its tasks survive if the leader outside crashes",
     durationS: 17,
     isLeaderInside: false,
     leaderCrashAfterS: 5,
     survives: true,
   },
   {
-    name: "for longer than a cancellation may take",
+    name: "its tasks end if the partition is longer than a cancellation may take",
     durationS: 45,
     isLeaderInside: false,
     survives: false,
   },
 ];
-for (const [index, partition] of partitions.entries()) {
+for (const [index, partition] of partitionCases.entries()) {
   const { name, durationS, isLeaderInside, leaderCrashAfterS, survives } = partition;
   test(`a zone with controllers is partitioned off: ${name}`, async () => {
     const zones = ["a", "a", "a", "b", "b"];
@@ -119,7 +132,7 @@
         world.controllers.crash(world.controllers.leaderOrFirst, 2000),
       );
     await world.run(2);
-    // Once its cancellation is confirmed, its replicas behind the partition must be gone in time all the same.
+    // After the confirmed cancellation, the replicas behind the partition also have to end within the time limit.
     const cancelled = world.users.jobs.get(refs[0]!)!;
     world.users.cancel(cancelled);
     await world.run(durationS - 2.5);
--- a/test/faultMeetings.test.ts
+++ b/test/overlappingFaults.test.ts
@@ -1,5 +1,5 @@
-/** Days on which faults meet each other, a change of leader or a certain kind of work: each row is one such meeting. */
-import { often, testDays, type Day } from "./fakes/day.js";
+/** Overlapping faults: each scenario combines faults with each other, a change of leader or a particular workload. */
+import { repeatedSteps, testSimulatedDays, type SimulatedDay } from "./fakes/simulatedDay.js";
 import { crash } from "./fakes/faults/controllerFaults.js";
 import {
   disturbBoots,
@@ -21,36 +21,40 @@
   sendInvalidRequests,
   submitFailingJobs,
 } from "./fakes/faults/userFaults.js";
-import { submitJobsBoundToZones, submitOverload, submitTasksOfUnequalLength } from "./fakes/themedWork.js";
+import {
+  submitZoneBoundJobs,
+  submitOverload,
+  submitArraysWithUnequalRunTimes,
+} from "./fakes/scenarioWorkloads.js";
 import type { World } from "./fakes/world.js";
 
-/** All controllers crash; one restarts at once, the others after `restartMs`. */
-const crashAllButOneReturnsAtOnce =
+/** Crashes all controllers; the one at `index` restarts after 70 ms, the others after `restartMs`. */
+const crashAllAndRestartOneAtOnce =
   (index: number, restartMs: number) =>
   ({ controllers }: World): void =>
     controllers.names.forEach((name, at) => controllers.crash(name, at === index ? 70 : restartMs));
 
-const meetings: Day[] = [
+const scenarios: SimulatedDay[] = [
   {
-    name: "the leadership changes to and fro, all controllers crash, one returns at once",
+    name: "the leader changes repeatedly, then all controllers crash and one restarts at once",
     seed: 705,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.1,
-    longJobs: 4,
+    longRunningServices: 4,
     steps: [
-      ...often(12, 0.7, 4, crash("leader", 60)),
-      [20, crashAllButOneReturnsAtOnce(0, 9000)],
+      ...repeatedSteps(12, 0.7, 4, crash("leader", 60)),
+      [20, crashAllAndRestartOneAtOnce(0, 9000)],
       [20.5, cancelJobs(3)],
-      [33, crashAllButOneReturnsAtOnce(1, 700)],
+      [33, crashAllAndRestartOneAtOnce(1, 700)],
     ],
   },
   {
-    name: "heartbeats are held back until a new leader has acted",
+    name: "heartbeats are held until after a new leader has acted",
     seed: 711,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.1,
-    duplicateWithinS: 30,
-    longJobs: 4,
+    maxDuplicateDelayS: 30,
+    longRunningServices: 4,
     steps: [
       [13, holdHeartbeats({ first: 6 }, 6000)],
       [13.5, crash("leader", 90)],
@@ -60,24 +64,24 @@
     ],
   },
   {
-    name: "the leader changes ten times in two minutes, also inside an outage",
+    name: "the leader crashes repeatedly within seconds, also during a state store outage",
     seed: 712,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    longJobs: 6,
+    longRunningServices: 6,
     steps: [
-      ...often(10, 3.1, 5, crash("leader", 90)),
+      ...repeatedSteps(10, 3.1, 5, crash("leader", 90)),
       [26, stateStoreOutage(9000)],
-      ...often(27, 2.3, 3, crash("leader", 200)),
-      ...often(37, 4, 4, crash("leader", 1500)),
+      ...repeatedSteps(27, 2.3, 3, crash("leader", 200)),
+      ...repeatedSteps(37, 4, 4, crash("leader", 1500)),
       [38, cancelJobs(3)],
     ],
   },
   {
-    name: "jobs bound to one zone, arrays too, lose machines",
+    name: "arrays and gangs that are bound to one zone lose machines",
     seed: 713,
-    alsoWithFive: true,
-    submitWork: submitJobsBoundToZones,
+    alsoWithFiveControllers: true,
+    submitWorkload: submitZoneBoundJobs,
     steps: [
       [10, loseMachines({ first: 4 })],
       [16, loseMachines({ from: 1, to: 6 })],
@@ -87,22 +91,22 @@
     ],
   },
   {
-    name: "tasks of a job end far apart across changes of leader, delayed transactions between",
+    name: "the tasks of a job end far apart, with changes of leader and delayed transactions in between",
     seed: 714,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.1,
-    submitWork: submitTasksOfUnequalLength,
+    submitWorkload: submitArraysWithUnequalRunTimes,
     steps: [
       [8, delayTransactions(0.3, 8000)],
-      ...often(10, 5, 5, crash("leader", 90)),
+      ...repeatedSteps(10, 5, 5, crash("leader", 90)),
       [20, delayTransactions(0.5, 5000)],
     ],
   },
   {
-    name: "workers can't reach any controller, commands reach them",
+    name: "workers cannot reach any controller, but commands reach them",
     seed: 715,
-    alsoWithFive: true,
-    longJobs: 6,
+    alsoWithFiveControllers: true,
+    longRunningServices: 6,
     steps: [
       [10, ignoreAnyHeartbeats(5, 18_000)],
       [12, cancelJobs(2)],
@@ -111,11 +115,11 @@
     ],
   },
   {
-    name: "there is more work than room, urgent and not, over slow links",
+    name: "the workload of all priorities exceeds the capacity while links are slow",
     seed: 717,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
-    submitWork: submitOverload,
+    submitWorkload: submitOverload,
     steps: [
       [3, slowLinks(250)],
       [20, ignoreAnyHeartbeats(2, 9000)],
@@ -123,12 +127,12 @@
     ],
   },
   {
-    name: "old heartbeats arrive after newer ones, from earlier epochs and attempts, also at a new leader",
+    name: "old heartbeats from earlier epochs and attempts arrive after newer ones, also at a new leader",
     seed: 718,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.35,
-    duplicateWithinS: 40,
-    longJobs: 4,
+    maxDuplicateDelayS: 40,
+    longRunningServices: 4,
     steps: [
       [10, ignoreAnyHeartbeats(4, 9500)],
       [20, crash("leader", 90)],
@@ -139,7 +143,7 @@
   {
     name: "the leader is isolated from its workers and the state store while users send invalid requests",
     seed: 721,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [
       [8, sendInvalidRequests(30_000)],
       [14, isolateController("leader", { only: ["workers"] }, 12_000)],
@@ -147,10 +151,10 @@
     ],
   },
   {
-    name: "a flood of status queries meets a change of leader and the end of an outage",
+    name: "a flood of status queries overlaps with a change of leader and the end of a state store outage",
     seed: 723,
-    alsoWithFive: true,
-    longJobs: 4,
+    alsoWithFiveControllers: true,
+    longRunningServices: 4,
     steps: [
       [8, floodWithQueries(10, 40_000)],
       [12, crash("leader", 90)],
@@ -160,21 +164,21 @@
     ],
   },
   {
-    name: "machines that come up late or never meet a failover and an outage of the cloud's interface",
+    name: "machines start late or never during a failover and a cloud outage",
     seed: 724,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [
-      [8, disturbBoots(4, { delayFactor: 4, neverShare: 0.4 }, 20_000)],
+      [8, disturbBoots(4, { delayFactor: 4, failureShare: 0.4 }, 20_000)],
       [10, crash("leader", 2500)],
       [12, cloudOutage(12_000)],
-      [30, disturbBoots(4, { delayFactor: 0.1, neverShare: 0 }, 10_000)],
+      [30, disturbBoots(4, { delayFactor: 0.1, failureShare: 0 }, 10_000)],
       [31.5, crash("leader", 90)],
     ],
   },
   {
-    name: "failing jobs meet faulty machines and a change of leader; they are known until they are cancelled",
+    name: "failing jobs stay known until they are cancelled, despite faulty machines and a change of leader",
     seed: 725,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [
       [8, submitFailingJobs(5, 30_000)],
       [12, makeMachinesFaulty(3, 20_000)],
@@ -183,4 +187,4 @@
   },
 ];
 
-testDays("faults meet", meetings, 100);
+testSimulatedDays("every job ends without a rule violation under overlapping faults", scenarios, 100);
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -2,7 +2,7 @@
 import { describe, test } from "node:test";
 import type { Attempt, Machine } from "../src/bookkeeping/workload.js";
 import type { ExitCause, TaskStatus } from "../src/protocol/model.js";
-import { FIRST_TOKEN, listed, MachineTerm } from "./fakes/machineTerm.js";
+import { FIRST_TOKEN, taskStatusOf, LeaderTermFixture } from "./fakes/leaderTermFixture.js";
 
 /** The state of an attempt after reconciliation: it holds its resources, its start is due (again), or it is gone. */
 function outcomeOf(attempt: Attempt): "kept" | "start due" | "gone" {
@@ -102,9 +102,9 @@
   ];
   for (const { name, sinceSentMs = 0, outcome, raisesToken, ...change } of cases)
     test(name, async () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
-      const attempt = term.attempt(term.job(), machine, change.attempt);
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
+      const attempt = term.addAttempt(term.addJob(), machine, change.attempt);
       Object.assign(machine, change.machine);
       await term.clock.advance(sinceSentMs);
       assert.equal(term.reconciliation.reconcile(machine), raisesToken);
@@ -132,11 +132,11 @@
   ];
   for (const { cause, isDone = false, failures = 0, avoidedForMs, pausedForMs } of cases)
     test(`is gone, with cause ${cause}`, () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
-      const job = term.job();
-      const attempt = term.attempt(job, machine);
-      machine.listedTasks = [listed(attempt, { phase: "exited", cause })];
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
+      const job = term.addJob();
+      const attempt = term.addAttempt(job, machine);
+      machine.listedTasks = [taskStatusOf(attempt, { phase: "exited", cause })];
       term.reconciliation.reconcile(machine);
       const nowMs = term.clock.nowMs();
       assert.equal(outcomeOf(attempt), "gone");
@@ -158,22 +158,22 @@
     [500, 15_000],
   ];
   for (const [failuresBefore, pauseMs] of pauses) {
-    const term = new MachineTerm();
-    const machine = term.machine();
-    const job = term.job();
+    const term = new LeaderTermFixture();
+    const machine = term.createMachine();
+    const job = term.addJob();
     job.failureCount = failuresBefore;
-    const attempt = term.attempt(job, machine);
-    machine.listedTasks = [listed(attempt, { phase: "exited", cause: "error" })];
+    const attempt = term.addAttempt(job, machine);
+    machine.listedTasks = [taskStatusOf(attempt, { phase: "exited", cause: "error" })];
     term.reconciliation.reconcile(machine);
     assert.equal(job.backOffUntilMs - term.clock.nowMs(), pauseMs, `after ${failuresBefore} failures`);
   }
 });
 
 test("an inherited attempt that is listed is adopted by this term, with a sent token just below the first token of the term", () => {
-  const term = new MachineTerm();
-  const machine = term.machine();
-  const attempt = term.attempt(term.job(), machine, { isInherited: true, sentToken: -1, sentEpoch: 0 });
-  machine.listedTasks = [listed(attempt, { phase: "running" })];
+  const term = new LeaderTermFixture();
+  const machine = term.createMachine();
+  const attempt = term.addAttempt(term.addJob(), machine, { isInherited: true, sentToken: -1, sentEpoch: 0 });
+  machine.listedTasks = [taskStatusOf(attempt, { phase: "running" })];
   assert.equal(term.reconciliation.reconcile(machine), false);
   const { isInherited, sentToken, sentEpoch, phase, runningMs } = attempt;
   assert.deepEqual(
@@ -189,12 +189,12 @@
 });
 
 test("a listed attempt of a cancelled job is stopped without a grace period", () => {
-  const term = new MachineTerm();
-  const machine = term.machine();
-  const job = term.job();
-  const attempt = term.attempt(job, machine);
+  const term = new LeaderTermFixture();
+  const machine = term.createMachine();
+  const job = term.addJob();
+  const attempt = term.addAttempt(job, machine);
   job.cancelledAt = new Date(0);
-  machine.listedTasks = [listed(attempt)];
+  machine.listedTasks = [taskStatusOf(attempt)];
   term.reconciliation.reconcile(machine);
   assert.equal(attempt.stop?.graceS, 0);
   assert.deepEqual(term.commandRequests, ["host-1"]);
@@ -224,25 +224,25 @@
   ];
   for (const { name, status, hasOtherAttempt, isDone } of cases)
     test(name, () => {
-      const term = new MachineTerm();
-      const machine = term.machine();
-      const job = term.job();
-      const replaced = term.attempt(job, machine);
+      const term = new LeaderTermFixture();
+      const machine = term.createMachine();
+      const job = term.addJob();
+      const replaced = term.addAttempt(job, machine);
       term.attempts.confirmGone(replaced);
-      if (hasOtherAttempt) term.attempt(job, term.machine("host-2"));
-      machine.listedTasks = [listed(replaced, status)];
+      if (hasOtherAttempt) term.addAttempt(job, term.createMachine("host-2"));
+      machine.listedTasks = [taskStatusOf(replaced, status)];
       term.reconciliation.reconcile(machine);
       assert.equal(job.isDone(0), isDone);
     });
 });
 
 test("all other members of a gang are stopped when one member fails", () => {
-  const term = new MachineTerm();
-  const job = term.job({ kind: "gang" });
-  const [first, second] = [term.machine(), term.machine("host-2")];
-  const failed = term.attempt(job, first);
-  const other = term.attempt(job, second, { task: 1, phase: "running" });
-  first.listedTasks = [listed(failed, { phase: "exited", cause: "incomplete" })];
+  const term = new LeaderTermFixture();
+  const job = term.addJob({ kind: "gang" });
+  const [first, second] = [term.createMachine(), term.createMachine("host-2")];
+  const failed = term.addAttempt(job, first);
+  const other = term.addAttempt(job, second, { task: 1, phase: "running" });
+  first.listedTasks = [taskStatusOf(failed, { phase: "exited", cause: "incomplete" })];
   term.reconciliation.reconcile(first);
   assert.equal(outcomeOf(failed), "gone");
   assert.equal(other.stop?.graceS, 0);
--- a/test/scaleInReasons.test.ts
+++ b/test/scaleInReasons.test.ts
@@ -9,14 +9,14 @@
 } from "../src/coordination/machines/scaleInReasons.js";
 import { SilenceCounts } from "../src/coordination/machines/silenceCounts.js";
 import type { MachineType } from "../src/protocol/model.js";
-import { FIRST_TOKEN, MachineTerm } from "./fakes/machineTerm.js";
+import { FIRST_TOKEN, LeaderTermFixture } from "./fakes/leaderTermFixture.js";
 
 const LEASE_S = 12;
 const SUSPECT_S = 3;
 
 /** Creates a term that started the given number of seconds ago, with the tests' settings. The clock starts at 1000 ms. */
-async function termAfter(seconds: number): Promise<{ term: MachineTerm; context: ScaleInContext }> {
-  const term = new MachineTerm();
+async function termAfter(seconds: number): Promise<{ term: LeaderTermFixture; context: ScaleInContext }> {
+  const term = new LeaderTermFixture();
   await term.clock.advance(seconds * 1000);
   const operator = { suspectS: SUSPECT_S, abandonS: 20, spotSilentS: 6, idleKeepS: 30 };
   return { term, context: { lease: term.lease, leaseS: LEASE_S, operator, isReserved: () => false } };
@@ -82,7 +82,7 @@
     test(name, async () => {
       const { term, context } = await termAfter(termS);
       const nowMs = term.clock.nowMs();
-      const machine = Object.assign(term.machine(), change, {
+      const machine = Object.assign(term.createMachine(), change, {
         state: "booting",
         createdMs: nowMs - ageS * 1000,
       });
@@ -169,12 +169,12 @@
     test(name, async () => {
       const { term, context } = await termAfter(100);
       const nowMs = term.clock.nowMs();
-      const machine = Object.assign(term.machine(), change, { lastContactMs: nowMs - silentS * 1000 });
-      if (hasAttempt) term.attempt(term.job(), machine);
+      const machine = Object.assign(term.createMachine(), change, { lastContactMs: nowMs - silentS * 1000 });
+      if (hasAttempt) term.addAttempt(term.addJob(), machine);
       const otherMachines = Array.from(
         { length: (others?.silent ?? 0) + (others?.responsive ?? 0) },
         (_, index) => {
-          const other = term.machine(`host-${index + 2}`);
+          const other = term.createMachine(`host-${index + 2}`);
           other.zone = others?.zone ?? "a";
           other.lastContactMs = index < (others?.silent ?? 0) ? machine.lastContactMs : nowMs;
           return other;
@@ -240,11 +240,11 @@
       const { term, context } = await termAfter(200);
       const nowMs = term.clock.nowMs();
       const machine = Object.assign(
-        term.machine(),
+        term.createMachine(),
         { createdMs: nowMs - 100_000, idleSinceMs: nowMs - 31_000, lastContactMs: nowMs },
         change?.(nowMs),
       );
-      if (hasAttempt) term.attempt(term.job(), machine);
+      if (hasAttempt) term.addAttempt(term.addJob(), machine);
       assert.equal(unusedMachineReason(machine, { ...context, isReserved: () => isReserved }, nowMs), reason);
     });
 });
--- a/test/days.test.ts
+++ b/test/simulatedDays.test.ts
@@ -1,5 +1,5 @@
-/** Whole days on fakes: whatever fails, no rule breaks, and every accepted job comes to its end. */
-import { testDays, type Day, type Step } from "./fakes/day.js";
+/** Simulated days: whichever faults occur, every accepted job ends and no rule is violated. */
+import { testSimulatedDays, type SimulatedDay, type ScenarioStep } from "./fakes/simulatedDay.js";
 import { crash, freeze, refuseConnections } from "./fakes/faults/controllerFaults.js";
 import {
   hangMachines,
@@ -16,13 +16,13 @@
 } from "./fakes/faults/networkFaults.js";
 import { cloudOutage, refuseAtStateStore, stateStoreOutage } from "./fakes/faults/serviceFaults.js";
 
-const days: Day[] = [
-  { name: "nothing fails", seed: 100, steps: [] },
-  { name: "late copies of old requests arrive", seed: 101, duplicateShare: 0.2, steps: [] },
+const days: SimulatedDay[] = [
+  { name: "no fault occurs", seed: 100, steps: [] },
+  { name: "duplicates of requests arrive late", seed: 101, duplicateShare: 0.2, steps: [] },
   {
     name: "the leader crashes twice",
     seed: 102,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
     steps: [
       [15, crash("leader", 3000)],
@@ -30,7 +30,7 @@
     ],
   },
   {
-    name: "leaders restart at once in the middle of an election",
+    name: "leaders crash and restart at once during an election",
     seed: 103,
     steps: [
       [15, crash("leader", 100)],
@@ -39,7 +39,7 @@
     ],
   },
   {
-    name: "a leader that runs refuses connections",
+    name: "connections to a running leader are refused",
     seed: 104,
     duplicateShare: 0.05,
     steps: [
@@ -47,7 +47,12 @@
       [22, refuseConnections("leader")],
     ],
   },
-  { name: "all controllers crash", seed: 105, alsoWithFive: true, steps: [[20, crash("all", 3000)]] },
+  {
+    name: "all controllers crash",
+    seed: 105,
+    alsoWithFiveControllers: true,
+    steps: [[20, crash("all", 3000)]],
+  },
   {
     name: "the controllers are restarted one after the other",
     seed: 106,
@@ -58,13 +63,13 @@
     ],
   },
   {
-    name: "the state store is out for longer than the leases",
+    name: "a state store outage lasts longer than the leases",
     seed: 107,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [[15, stateStoreOutage(20_000)]],
   },
   {
-    name: "the leader crashes in an outage of the state store",
+    name: "the leader crashes during a state store outage",
     seed: 108,
     steps: [
       [15, stateStoreOutage(14_000)],
@@ -72,18 +77,18 @@
     ],
   },
   {
-    name: "the state store refuses the leader alone",
+    name: "the state store rejects only the leader",
     seed: 109,
     steps: [[15, refuseAtStateStore("leader", 15_000)]],
   },
   {
-    name: "the leader is isolated from the state store, packets are held",
+    name: "the leader is isolated from the state store and packets are held",
     seed: 110,
     duplicateShare: 0.05,
     steps: [[15, isolateController("leader", { only: ["state store"] }, 15_000)]],
   },
   {
-    name: "the leader is isolated from the workers, packets are held",
+    name: "the leader is isolated from the workers and packets are held",
     seed: 111,
     steps: [[15, isolateController("leader", { only: ["workers"] }, 25_000)]],
   },
@@ -93,13 +98,13 @@
     steps: [[15, isolateController("leader", { only: ["controllers"] }, 20_000)]],
   },
   {
-    name: "a zone's machines are isolated, packets are held",
+    name: "a zone's machines are isolated and packets are held",
     seed: 113,
     duplicateShare: 0.05,
     steps: [[15, isolateMachines({ zone: "b" }, 18_000)]],
   },
   {
-    name: "machines hang and go on",
+    name: "machines hang and resume",
     seed: 114,
     duplicateShare: 0.05,
     steps: [
@@ -109,7 +114,7 @@
   },
   { name: "machines are lost", seed: 115, steps: [[12, loseMachines({ first: 3 })]] },
   {
-    name: "machines are lost in an outage of the cloud",
+    name: "machines are lost during a cloud outage",
     seed: 116,
     steps: [
       [12, cloudOutage(15_000)],
@@ -117,28 +122,28 @@
     ],
   },
   {
-    name: "a machine fails whatever it starts",
+    name: "every task that starts on one machine fails",
     seed: 117,
     steps: [[10, makeMachinesFaultyForEver(1)]],
   },
   {
-    name: "a machine's heartbeats arrive, but responses and commands don't reach it",
+    name: "the heartbeats of machines arrive, but responses and commands do not reach the machines",
     seed: 118,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [[12, holdResponses(2, 22_000)]],
   },
   {
-    name: "a machine's heartbeats get no response, but commands reach it",
+    name: "the heartbeats of machines get no response, but commands reach the machines",
     seed: 119,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [10, 14, 18, 22, 26].map((atS) => [atS, ignoreHeartbeats({ first: 4 }, 9500)]),
   },
   {
-    name: "copies of heartbeats arrive well over a lease late, also at new leaders",
+    name: "duplicates of heartbeats arrive late by well over a lease duration, also at new leaders",
     seed: 120,
     duplicateShare: 0.3,
-    duplicateWithinS: 35,
-    alsoWithFive: true,
+    maxDuplicateDelayS: 35,
+    alsoWithFiveControllers: true,
     steps: [
       [14, crash("leader", 3000)],
       [15, loseMachines({ first: 2 })],
@@ -147,29 +152,29 @@
     ],
   },
   {
-    name: "a controller loses the state store and the other controllers, but not its workers",
+    name: "a controller is isolated from the state store and the other controllers, but not from its workers",
     seed: 121,
     duplicateShare: 0.05,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [
       [12, isolateFromControlPlane("leader", 18_000)],
       [34, isolateFromControlPlane("first besides leader", 14_000)],
     ],
   },
   {
-    name: "processes are back within a fraction of a second, with duplicates of requests",
+    name: "controllers restart within a fraction of a second while requests are duplicated",
     seed: 122,
     duplicateShare: 0.15,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [12, 12.4, 20, 20.2, 20.5, 31].map((atS, index) => [
       atS,
       crash(index % 2 ? { index } : "leader", 60 + index * 40),
     ]),
   },
   {
-    name: "leaders freeze for longer than their lease, a grant and a worker's lease, and wake with full buffers",
+    name: "leaders freeze for longer than their lease, a grant and a worker's lease, and resume with full buffers",
     seed: 123,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
     steps: [
       [12, freeze("leader", 3000)],
@@ -178,9 +183,9 @@
     ],
   },
   {
-    name: "followers freeze, one after the other, and one just as it is to lead",
+    name: "followers freeze, one of them just as it is about to become leader",
     seed: 124,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
     steps: [
       [12, freeze({ follower: 0 }, 9000)],
@@ -196,9 +201,9 @@
     ],
   },
   {
-    name: "many machines are lost with all that is on them, also while a new leader begins",
+    name: "many machines are lost with their tasks, also while a new leader takes over",
     seed: 125,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     steps: [
       [12, loseMachines({ first: 6 })],
       [20, crash("leader", 90)],
@@ -206,26 +211,26 @@
     ],
   },
   {
-    name: "a zone is isolated with a controller in it, which leads",
+    name: "a zone is isolated together with the leader",
     seed: 126,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
     steps: [[14, isolateZone(["leader"], 20_000)]],
   },
   {
-    name: "two zones can't reach each other, the state store is reached from both",
+    name: "two zones cannot reach each other, but both reach the state store",
     seed: 127,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.05,
     steps: [[14, isolateZone(["leader"], 26_000, { allBut: ["state store", "cloud"] })]],
   },
   {
-    name: "the state store is out while all controllers are restarted one after the other, and all crash",
+    name: "controllers restart one after the other, then all crash, each time with a state store outage",
     seed: 128,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.1,
     steps: [
-      ...[10, 14, 18, 22, 26].map((atS, index): Step => [atS, crash({ index }, 900)]),
+      ...[10, 14, 18, 22, 26].map((atS, index): ScenarioStep => [atS, crash({ index }, 900)]),
       [15, stateStoreOutage(6000)],
       [
         30,
@@ -235,9 +240,9 @@
     ],
   },
   {
-    name: "much fails at once",
+    name: "many different faults overlap",
     seed: 129,
-    alsoWithFive: true,
+    alsoWithFiveControllers: true,
     duplicateShare: 0.1,
     steps: [
       [12, stateStoreOutage(9000)],
@@ -251,4 +256,4 @@
   },
 ];
 
-testDays("a day", days, 400);
+testSimulatedDays("every job ends without a rule violation", days, 400);
--- a/test/stateStoreOutage.test.ts
+++ b/test/stateStoreOutage.test.ts
@@ -2,7 +2,7 @@
 import test from "node:test";
 import { World } from "./fakes/world.js";
 
-test("an outage of the state store, longer than the workers' leases, costs no running task", async () => {
+test("an outage of the state store that is longer than the workers' leases ends no running task", async () => {
   const world = new World(78);
   await world.run(3);
   const fields = { form: "standing", rank: "prod", spores: 2, windfall: false, scatter: true };
@@ -20,8 +20,11 @@
   assert.deepEqual(world.violations, []);
 });
 
-/** In an outage all controllers were unready for as long as their leader held on; the load balancer left all of them out. */
-test("in an outage every controller stays ready; one that is refused alone does not", async () => {
+/**
+ * Guards against a loss of service during a state store outage: all controllers were unready for as long as their
+ * leader kept the leadership, so the load balancer removed all of them.
+ */
+test("every controller stays ready during a state store outage, but one that alone is rejected does not", async () => {
   const world = new World(79, { controllerCount: 5 });
   await world.run(5);
   const status = (): Promise<number[]> => {
@@ -37,11 +40,11 @@
     assert.deepEqual(await status(), [200, 200, 200, 200, 200]);
   }
   await world.run(10);
-  const alone = world.controllers.names.find((name) => name !== world.leader)!;
-  world.stateStore.refuseHost(`${alone}:80`, 15_000);
+  const rejectedController = world.controllers.names.find((name) => name !== world.leader)!;
+  world.stateStore.refuseHost(`${rejectedController}:80`, 15_000);
   await world.run(8);
   assert.deepEqual(
     (await status()).map((code, index) => [world.controllers.names[index], code]),
-    world.controllers.names.map((name) => [name, name === alone ? 503 : 200]),
+    world.controllers.names.map((name) => [name, name === rejectedController ? 503 : 200]),
   );
 });
--- a/test/unreachableMachines.test.ts
+++ b/test/unreachableMachines.test.ts
@@ -1,11 +1,11 @@
-/** Machines that can be reached in one direction only, or not at all any more, get no work and keep no lease. */
+/** Machines that are reachable in one direction only, or not at all, get no new tasks and keep no lease. */
 import assert from "node:assert/strict";
 import test from "node:test";
 import type { SimJob } from "./fakes/job.js";
 import type { SimWorker } from "./fakes/worker.js";
 import { World } from "./fakes/world.js";
 
-/** The id of the job submitted at that index. */
+/** Returns the id of the late job with the given index. */
 function lateJobId(index: number): string {
   return `job-0001${String(index).padStart(2, "0")}`;
 }
@@ -14,8 +14,11 @@
   return [...world.fleet.workers.values()].find((worker) => worker.tasks.size > 0)!;
 }
 
-/** A heartbeat is no proof that commands arrive: placed there, work would wait until a lease proves it gone. */
-test("a machine that sends heartbeats and gets no commands gets no new work, and is trusted again afterwards", async () => {
+/**
+ * Heartbeats do not prove that commands arrive. Tasks placed on a machine that gets no commands would wait until the
+ * expiry of a lease proves that they are not running.
+ */
+test("a machine that sends heartbeats but gets no commands gets no new tasks until commands reach it again", async () => {
   const world = new World(23, { controllerCount: 5, capacity: 4 });
   await world.run(3);
   const service = { form: "standing", rank: "prod", cores: 2, windfall: false };
@@ -29,7 +32,7 @@
     true,
   );
   await world.run(0.5);
-  // Commands under way when the partition begins are lost; whatever comes after that goes elsewhere.
+  // Commands in flight when the partition begins are lost; later tasks are placed on other machines.
   const task = { crew: "two", cores: 1, memoryGb: 1 };
   const first = world.users.submit({ ...task, ref: "job-000002", spores: 12 }, 2);
   await world.run(9);
@@ -51,8 +54,8 @@
   assert.equal(world.fleet.liveTasks("job-000001").length, 6);
 });
 
-/** Starts would succeed there, and end with the lease that no heartbeat renews. */
-test("a machine whose heartbeats reach no controller gets no new work, though commands reach it", async () => {
+/** Tasks would start on such a machine, but end when its lease expires, because no heartbeat renews it. */
+test("a machine whose heartbeats reach no controller gets no new tasks, although commands reach it", async () => {
   const world = new World(24, { controllerCount: 5, capacity: 6 });
   await world.run(3);
   const accel = { crew: "two", spores: 1, cores: 0.25, breeds: ["accel"], memoryGb: 1, windfall: false };
@@ -63,23 +66,27 @@
   world.onTaskStart = (worker, task) => {
     if (worker.machine.id === id) started.push(task.name);
   };
-  world.controllers.dropHeartbeatResponses(id, 60_000);
-  // Work for this type of machine alone keeps coming, so that commands keep going there, and their responses back.
+  world.controllers.dropHeartbeats(id, 60_000);
+  // Jobs for this machine type keep arriving, so that commands and their responses are still exchanged with the
+  // machine.
   const late: SimJob[] = [];
   for (let i = 0; i < 40; i++) {
     late.push(world.users.submit({ ref: lateJobId(i), ...accel }, 1));
     await world.run(0.5);
-    // Until now its last heartbeat may have been recent enough.
+    // Until now, the machine's last heartbeat may have been recent enough for placements on it.
     if (i === 12) started.length = 0;
   }
-  assert.deepEqual(started, [], "nothing started there");
+  assert.deepEqual(started, [], "no task started on the unreachable machine");
   await world.run(20);
-  for (const job of late) assert.ok(job.doneTasks.size === 1, `${job.spec.ref} done`);
+  for (const job of late) assert.ok(job.doneTasks.size === 1, `${job.spec.ref} has completed its task`);
   assert.deepEqual(world.violations, []);
 });
 
-/** Copies of its last heartbeat, for ever and at every controller, must not keep a machine that is gone alive. */
-test("late copies of a lost machine's heartbeat neither renew its lease nor bring it back", async () => {
+/**
+ * Guards against duplicates of a lost machine's last heartbeat, sent repeatedly to every controller, renewing its
+ * lease.
+ */
+test("late duplicates of a lost machine's heartbeat neither renew its lease nor restore the machine", async () => {
   const world = new World(34, { controllerCount: 5, capacity: 6 });
   const lastHeartbeats = new Map<string, unknown>();
   world.controllers.onHeartbeat = (body) => lastHeartbeats.set((body as { tuft: string }).tuft, body);
@@ -96,7 +103,11 @@
     if (i === 25) world.controllers.crash(world.leader!, 90);
     await world.run(0.5);
   }
-  assert.equal(world.fleet.liveTasks("job-000001").length, 4, "its tasks run elsewhere, a lease later");
+  assert.equal(
+    world.fleet.liveTasks("job-000001").length,
+    4,
+    "its tasks run on other machines after its lease expired",
+  );
   assert.ok([...world.fleet.workers.keys()].every((name) => name !== id));
   assert.deepEqual(world.violations, []);
 });
