--- a/src/bookkeeping/stateStoreClient.ts
+++ b/src/bookkeeping/stateStoreClient.ts
@@ -6,7 +6,7 @@
 import type { Clock } from "../transport/clock.js";
 import type { HttpCaller, ClientResponse } from "../transport/httpClient.js";
 import {
-  decodeChangeEvents,
+  decodeWatchResponse,
   decodeFailedKeys,
   decodeItem,
   decodeLeaseId,
@@ -202,7 +202,7 @@
     const endMs = deadlineMs ?? this.clock.nowMs() + waitMs + WATCH_RESPONSE_MARGIN_MS;
     const response = await this.send("GET", stateStorePaths.watch(prefix, after, waitMs), undefined, endMs);
     if (response.status === HTTP_GONE) return { kind: "too old" };
-    const decoded = response.status === HTTP_OK ? decodeChangeEvents(response.body) : null;
+    const decoded = response.status === HTTP_OK ? decodeWatchResponse(response.body) : null;
     return decoded ? { kind: "ok", ...decoded } : { kind: "failed" };
   }
 
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -19,7 +19,7 @@
 import { EventLoopLagMeter } from "../transport/eventLoopLag.js";
 import type { HttpCaller } from "../transport/httpClient.js";
 import type { ServerRequest, ServerResponse } from "../transport/httpServer.js";
-import type { PeerPort } from "../transport/peerLinks.js";
+import type { PeerSender } from "../transport/peerLinks.js";
 import { HttpRoutes } from "./httpRoutes.js";
 import { MachineTypesFetcher } from "./machineTypesFetcher.js";
 import { PeerDispatch, type FrameHandler } from "./peerDispatch.js";
@@ -46,7 +46,7 @@
   stateStoreHttp: HttpCaller;
   cloudHttp: HttpCaller;
   workerHttp: HttpCaller;
-  peerPort: PeerPort;
+  peerPort: PeerSender;
   /** Unique to each process of this controller. */
   incarnation: string;
   /** Returns a random number from 0 (included) to 1 (excluded). */
@@ -90,7 +90,7 @@
     this.heartbeatServer = this.buildHeartbeatServer(onFirstGrant);
     this.elector = this.buildElector();
     this.machineTypesFetcher = new MachineTypesFetcher(this.stateStore, clock, (types) =>
-      this.leader.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
+      this.leader.post({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
     );
     this.httpRoutes = this.buildHttpRoutes();
     this.peerDispatch = this.buildPeerDispatch();
@@ -112,7 +112,7 @@
     this.elector.stop();
     this.leader.stop();
     this.heartbeatServer.stop();
-    this.cloud.tell({ kind: "stop" });
+    this.cloud.post({ kind: "stop" });
   }
 
   /** Resolves once this controller may acknowledge heartbeats, or after the timeout. */
@@ -139,7 +139,7 @@
   /** Handles a lost link to a peer whose host refuses a new one; `establishedLinks` counts the links to other peers. */
   onPeerConnectionRefused(peer: string, establishedLinks: number): void {
     const othersReachable = establishedLinks > 0 || this.platform.peers.length === 1;
-    this.elector.tell({ kind: "peer refused", peer, othersReachable });
+    this.elector.post({ kind: "peer refused", peer, othersReachable });
   }
 
   private readonly sendToPeer = (peer: string, message: PeerMessage): boolean =>
@@ -166,7 +166,7 @@
       teams: platform.teams,
       maxValueBytes: platform.stateStoreMaxValueKib * 1024,
       onCancellationConfirmed: (id, at) =>
-        this.heartbeatServer.tell({ kind: "cancellation confirmed", id, at }),
+        this.heartbeatServer.post({ kind: "cancellation confirmed", id, at }),
     });
   }
 
@@ -174,7 +174,7 @@
     const { cloudHttp, clock } = this.environment;
     const { cloudAddress, cloudRps } = this.platform;
     return new CloudClient(cloudHttp, clock, cloudAddress, cloudRps, (event) =>
-      this.leader.tell({ kind: "cloud", event }),
+      this.leader.post({ kind: "cloud", event }),
     );
   }
 
@@ -182,7 +182,7 @@
     const { workerHttp, clock } = this.environment;
     const sender = new CommandSender(workerHttp, COMMAND_TIMEOUT_MS);
     return new CommandRouter(this.platform.node, clock, sender, this.sendToPeer, (term, result) =>
-      this.leader.tell({ kind: "delivery finished", term, result }),
+      this.leader.post({ kind: "delivery finished", term, result }),
     );
   }
 
@@ -195,12 +195,12 @@
       cloud: this.cloud,
       deliver: (term, via, delivery) => this.commandRouter.deliver(term, via, delivery),
       sendGrant: this.sendToPeer,
-      onServers: (servers) => this.heartbeatServer.tell({ kind: "servers", servers }),
-      onLimits: (limits) => this.heartbeatServer.tell({ kind: "limits", limits }),
+      onServers: (servers) => this.heartbeatServer.post({ kind: "servers", servers }),
+      onLimits: (limits) => this.heartbeatServer.post({ kind: "limits", limits }),
       workerCount: () => this.heartbeatServer.workerCount,
       lagMs: this.lagMs,
-      onDeposed: (term) => this.elector.tell({ kind: "deposed", term }),
-      onLagging: (term) => this.elector.tell({ kind: "lagging", term }),
+      onDeposed: (term) => this.elector.post({ kind: "deposed", term }),
+      onLagging: (term) => this.elector.post({ kind: "lagging", term }),
       onMachineTypes: (types) => this.handleMachineTypes(types),
       onTaskCounts: (term, jobs) => this.publishTaskCounts(term, jobs),
     });
@@ -219,9 +219,9 @@
       cancellationRetentionMs: cancellationRetentionS * 1000,
       sendToLeader: this.sendToPeer,
       sendToZonePeer: this.sendToPeer,
-      sendToLocalLeader: (update) => this.leader.tell({ kind: "heartbeat server update", update }),
+      sendToLocalLeader: (update) => this.leader.post({ kind: "heartbeat server update", update }),
       onFirstGrant,
-      onLaterTerm: (term) => this.elector.tell({ kind: "deposed", term }),
+      onLaterTerm: (term) => this.elector.post({ kind: "deposed", term }),
       lagMs: this.lagMs,
     });
   }
@@ -269,19 +269,19 @@
   private handleMachineTypes(types: MachineType[]): void {
     this.readiness.setMachineTypesKnown();
     this.machineTypesFetcher.stop();
-    this.admission.tell({ kind: "types", types });
+    this.admission.post({ kind: "types", types });
   }
 
   private publishTaskCounts(term: number, jobs: TaskCounts[]): void {
-    this.admission.tell({ kind: "task counts", jobs });
+    this.admission.post({ kind: "task counts", jobs });
     for (const peer of this.peerNames)
       this.sendToPeer(peer, { kind: "task counts", from: this.platform.node, term, jobs });
   }
 
   private handleLeadershipChange(change: LeadershipChange): void {
     // The leader is notified first, because the heartbeat server forwards its workers' heartbeats to it immediately.
-    this.leader.tell({ kind: "election", change });
-    this.heartbeatServer.tell({ kind: "election", change });
+    this.leader.post({ kind: "election", change });
+    this.heartbeatServer.post({ kind: "election", change });
   }
 }
 
--- a/src/controller/httpRoutes.ts
+++ b/src/controller/httpRoutes.ts
@@ -48,7 +48,7 @@
 
   private handleHeartbeat(request: ServerRequest, reply: Reply): void {
     const heartbeat = decodeHeartbeat(parseJson(request.body));
-    if (heartbeat) this.context.heartbeatServer.tell({ kind: "heartbeat", heartbeat, reply });
+    if (heartbeat) this.context.heartbeatServer.post({ kind: "heartbeat", heartbeat, reply });
     else reply({ status: 400, body: { error: "not a report" } });
   }
 
@@ -69,12 +69,12 @@
       reply(response);
     };
     if (route.call !== "submit") {
-      admission.tell({ kind: route.call, id: route.id, reply: finish });
+      admission.post({ kind: route.call, id: route.id, reply: finish });
       return;
     }
     const value = parseJson(request.body);
     if (value === undefined) finish({ status: 400, body: { error: "the body is not JSON" } });
-    else admission.tell({ kind: "submit", value, reply: finish });
+    else admission.post({ kind: "submit", value, reply: finish });
   }
 }
 
--- a/src/controller/peerDispatch.ts
+++ b/src/controller/peerDispatch.ts
@@ -60,31 +60,31 @@
       case "hello":
         break;
       case "task counts":
-        admission.tell({ kind: "task counts", jobs: message.jobs });
+        admission.post({ kind: "task counts", jobs: message.jobs });
         break;
       case "heartbeat server update":
-        leader.tell({ kind: "heartbeat server update", update: message });
+        leader.post({ kind: "heartbeat server update", update: message });
         break;
       case "grant":
         if (message.stateStoreReachable)
           this.context.readiness.recordLeaderServed(this.context.clock.nowMs());
-        heartbeatServer.tell({ kind: "grant", grant: message });
+        heartbeatServer.post({ kind: "grant", grant: message });
         break;
       case "isolated":
-        heartbeatServer.tell({ kind: "isolated", from: message.from, term: message.term });
+        heartbeatServer.post({ kind: "isolated", from: message.from, term: message.term });
         break;
       case "deliveries":
         commandRouter.deliverForLeader(message.from, message.term, message.deliveries);
         break;
       case "delivery results":
         for (const result of message.results)
-          leader.tell({ kind: "delivery finished", term: message.term, result });
+          leader.post({ kind: "delivery finished", term: message.term, result });
         break;
       case "extension request":
       case "extension vote":
       case "term announcement":
       case "term acknowledgement":
-        elector.tell({ kind: "peer", message });
+        elector.post({ kind: "peer", message });
         break;
     }
   }
--- a/src/controller/process.ts
+++ b/src/controller/process.ts
@@ -48,10 +48,11 @@
     listen: platform.peerListenAddress,
     peers: platform.peers,
     clock,
-    greeting: encodeHello(platform.node),
-    onLink: () => controller.acceptPeerLink(),
-    onRefused: (peer, establishedLinks) => controller.onPeerConnectionRefused(peer, establishedLinks),
-    onBadLink: (reason) => log.error(reason),
+    helloPayload: encodeHello(platform.node),
+    onIncomingLink: () => controller.acceptPeerLink(),
+    onConnectionRefused: (peer, establishedLinks) =>
+      controller.onPeerConnectionRefused(peer, establishedLinks),
+    onLinkRejected: (reason) => log.error(reason),
     onError: logError,
   });
   const controller: Controller = new Controller(platform, operator, {
--- a/src/coordination/admission/admission.ts
+++ b/src/coordination/admission/admission.ts
@@ -67,8 +67,8 @@
     this.statusQuery = new StatusQuery({ clock: options.clock, lookup, phases, taskCounts });
   }
 
-  protected override failed(message: AdmissionMessage, error: unknown): void {
-    super.failed(message, error);
+  protected override handleError(message: AdmissionMessage, error: unknown): void {
+    super.handleError(message, error);
     if ("reply" in message) message.reply(internalErrorResponse);
   }
 
--- a/src/coordination/commands/commandRouter.ts
+++ b/src/coordination/commands/commandRouter.ts
@@ -58,7 +58,7 @@
   /** Sends deliveries to workers on behalf of another controller, the leader, and returns the results to it. */
   deliverForLeader(leader: string, term: number, deliveries: CommandDelivery[]): void {
     for (const delivery of deliveries) {
-      this.commandSender.tell({
+      this.commandSender.post({
         kind: "deliver",
         delivery,
         onResult: (result) => this.results.add(leader, term, result),
@@ -75,7 +75,7 @@
   }
 
   private deliverDirectly(term: number, delivery: CommandDelivery): void {
-    this.commandSender.tell({
+    this.commandSender.post({
       kind: "deliver",
       delivery,
       onResult: (result) => this.onResult(term, result),
--- a/src/coordination/commands/commandSender.ts
+++ b/src/coordination/commands/commandSender.ts
@@ -26,7 +26,7 @@
     super("command sender");
   }
 
-  protected override failed(message: Message, error: unknown): void {
+  protected override handleError(message: Message, error: unknown): void {
     log.error(`command sender: handling of "${message.kind}" failed: ${String(error)}`);
   }
 
@@ -55,11 +55,11 @@
       (response) => {
         const heartbeat = decodeHeartbeat(response.body);
         const result = { machine, fencingToken, status: response.status, neverSent: false, heartbeat };
-        this.tell({ kind: "finished", result, onResult });
+        this.post({ kind: "finished", result, onResult });
       },
       (error: unknown) => {
         const neverSent = error instanceof NoResponseError && error.neverSent;
-        this.tell({ kind: "finished", result: withoutResponse(delivery, neverSent), onResult });
+        this.post({ kind: "finished", result: withoutResponse(delivery, neverSent), onResult });
       },
     );
   }
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -115,7 +115,7 @@
   private leaderLoad(): Grant["servers"][number] {
     return {
       node: this.context.platform.node,
-      machines: this.context.workerCount(),
+      workerCount: this.context.workerCount(),
       lagMs: Math.round(this.context.lagMs()),
     };
   }
--- a/src/coordination/heartbeats/heartbeatServer.ts
+++ b/src/coordination/heartbeats/heartbeatServer.ts
@@ -70,7 +70,7 @@
 
   /** Starts the periodic tick; no timer runs before that. */
   start(): void {
-    this.tell({ kind: "tick" });
+    this.post({ kind: "tick" });
   }
 
   /** Cancels the timers; no further updates are sent to the leader. */
@@ -85,8 +85,8 @@
     return this.workers.workerCount;
   }
 
-  protected override failed(message: HeartbeatServerMessage, error: unknown): void {
-    super.failed(message, error);
+  protected override handleError(message: HeartbeatServerMessage, error: unknown): void {
+    super.handleError(message, error);
     if (message.kind === "heartbeat") message.reply({ status: STATUS_UNAVAILABLE, body: {} });
   }
 
@@ -256,7 +256,7 @@
 
   private flushSoon(): void {
     if (this.flushTimer !== null || this.isStopped) return;
-    this.flushTimer = this.options.clock.after(CHANGE_BATCH_DELAY_MS, () => this.tell({ kind: "flush" }));
+    this.flushTimer = this.options.clock.after(CHANGE_BATCH_DELAY_MS, () => this.post({ kind: "flush" }));
   }
 
   /** Sends pending updates to the leader. Without pending changes an empty update still requests the next grant. */
@@ -272,7 +272,7 @@
 
   private tick(): void {
     if (this.isStopped) return;
-    this.tickTimer = this.options.clock.after(TICK_MS, () => this.tell({ kind: "tick" }));
+    this.tickTimer = this.options.clock.after(TICK_MS, () => this.post({ kind: "tick" }));
     const nowMs = this.options.clock.nowMs();
     this.workers.expire(nowMs);
     this.confirmedCancellations.expire(nowMs);
--- a/src/coordination/heartbeats/heartbeatServerRecord.ts
+++ b/src/coordination/heartbeats/heartbeatServerRecord.ts
@@ -69,7 +69,7 @@
     record.acknowledgementsKnownUntilMs,
     Math.min(update.lastGrantIssuedAtMs, nowMs),
   );
-  record.machines = update.machines;
+  record.machines = update.workerCount;
   record.lagMs = update.lagMs;
   record.lastUpdateMs = nowMs;
 }
--- a/src/coordination/heartbeats/heartbeatServerRegistry.ts
+++ b/src/coordination/heartbeats/heartbeatServerRegistry.ts
@@ -118,7 +118,8 @@
   activeServers(leaderLoad: ServerLoad, nowMs: number): ServerLoad[] {
     const servers = [{ ...leaderLoad }];
     for (const [node, record] of this.records) {
-      if (record.grantUntilMs > nowMs) servers.push({ node, machines: record.machines, lagMs: record.lagMs });
+      if (record.grantUntilMs > nowMs)
+        servers.push({ node, workerCount: record.machines, lagMs: record.lagMs });
     }
     return servers;
   }
--- a/src/coordination/heartbeats/heartbeatUpdates.ts
+++ b/src/coordination/heartbeats/heartbeatUpdates.ts
@@ -104,7 +104,7 @@
         lastGrantIssuedAtMs: isLast ? this.lastGrantIssuedAtMs : 0,
         lastResyncIssuedAtMs: isLast ? this.lastResyncIssuedAtMs : 0,
         requestedAtMs: Math.floor(nowMs),
-        machines: workerCount,
+        workerCount,
         lagMs: Math.round(this.context.lagMs()),
         unchanged: isLast ? unchanged : [],
         heartbeats,
--- a/src/coordination/heartbeats/workerBalancer.ts
+++ b/src/coordination/heartbeats/workerBalancer.ts
@@ -145,15 +145,15 @@
   }
 
   private workersAt(node: string): number {
-    return this.servers.find((server) => server.node === node)?.machines ?? 0;
+    return this.servers.find((server) => server.node === node)?.workerCount ?? 0;
   }
 
   /** Records a redirect, and adjusts the worker counts until the next grant brings new ones. */
   private recordRedirect(machine: string, to: string, nowMs: number): void {
     this.redirected.set(machine, { to, atMs: nowMs });
     for (const server of this.servers) {
-      if (server.node === to) server.machines++;
-      else if (server.node === this.node) server.machines--;
+      if (server.node === to) server.workerCount++;
+      else if (server.node === this.node) server.workerCount--;
     }
   }
 
@@ -193,9 +193,9 @@
   const fullShare = fullShareOf(candidates, input);
   const ownShare = fullShare * shareOf(own.node, input);
   const excess = input.isKnown ? KNOWN_WORKER_EXCESS : NEW_WORKER_EXCESS;
-  const hasTooMany = own.machines > ownShare * excess.factor + excess.workers;
+  const hasTooMany = own.workerCount > ownShare * excess.factor + excess.workers;
   const hasRoom =
-    leastLoaded.machines < fullShare * shareOf(leastLoaded.node, input) * MAX_TARGET_LOAD_FACTOR;
+    leastLoaded.workerCount < fullShare * shareOf(leastLoaded.node, input) * MAX_TARGET_LOAD_FACTOR;
   return hasTooMany && hasRoom ? leastLoaded.node : null;
 }
 
@@ -205,7 +205,7 @@
   let lowestLoad = Infinity;
   for (const server of candidates) {
     if (server.node === input.node || server.lagMs > SLOW_LAG_MS) continue;
-    const load = server.machines / shareOf(server.node, input);
+    const load = server.workerCount / shareOf(server.node, input);
     if (leastLoaded && load >= lowestLoad) continue;
     leastLoaded = server;
     lowestLoad = load;
@@ -223,7 +223,7 @@
   let workers = 0;
   let shares = 0;
   for (const server of candidates) {
-    workers += server.machines;
+    workers += server.workerCount;
     shares += shareOf(server.node, input);
   }
   return workers / shares;
--- a/src/coordination/leader/leader.ts
+++ b/src/coordination/leader/leader.ts
@@ -44,7 +44,7 @@
   }
 
   start(): void {
-    this.tell({ kind: "tick" });
+    this.post({ kind: "tick" });
   }
 
   stop(): void {
@@ -52,7 +52,7 @@
     this.timer?.cancel();
   }
 
-  protected override failed(message: LeaderMessage, error: unknown): void {
+  protected override handleError(message: LeaderMessage, error: unknown): void {
     const kind = message.kind === "term" ? message.message.kind : message.kind;
     this.logFailure(kind, error);
   }
@@ -93,15 +93,15 @@
     this.term = lease ? this.buildTerm(lease) : null;
     if (!this.term) return;
     this.term.begin();
-    this.tell({ kind: "tick" });
+    this.post({ kind: "tick" });
   }
 
   private buildTerm(lease: LeadershipLease): LeaderTerm {
     const { term } = lease;
     const components = buildTermComponents(lease, this.options, this.estimates, {
-      post: (message) => this.tell({ kind: "term", term, message }),
+      post: (message) => this.post({ kind: "term", term, message }),
       onStoredMachineTypes: (types) =>
-        this.tell({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
+        this.post({ kind: "cloud", event: { kind: "types", types, isStored: true } }),
     });
     return new LeaderTerm(components, this.options);
   }
@@ -127,7 +127,7 @@
     this.timer?.cancel();
     // Without a term there is no periodic work; the next term starts the ticks again.
     if (!this.term) return;
-    this.timer = this.options.clock.after(TICK_MS, () => this.tell({ kind: "tick" }));
+    this.timer = this.options.clock.after(TICK_MS, () => this.post({ kind: "tick" }));
     this.term.tick(this.options.clock.nowMs());
   }
 }
--- a/src/coordination/leader/leaderTerm.ts
+++ b/src/coordination/leader/leaderTerm.ts
@@ -141,14 +141,14 @@
       : UNKNOWN_TYPES_INTERVAL_MS;
     if (nowMs - this.lastTypesMs <= intervalMs) return;
     this.lastTypesMs = nowMs;
-    this.options.cloud.tell({ kind: "types" });
+    this.options.cloud.post({ kind: "types" });
   }
 
   private requestMachineList(nowMs: number): void {
     if (nowMs - this.lastListMs <= Math.max(LIST_INTERVAL_MS, this.options.platform.machineListLagS * 1000))
       return;
     this.lastListMs = nowMs;
-    this.options.cloud.tell({ kind: "list" });
+    this.options.cloud.post({ kind: "list" });
   }
 
   private publish(nowMs: number): void {
--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -51,14 +51,14 @@
 
   constructor(private readonly options: ElectorOptions) {
     super("election");
-    this.timer = new CheckTimer(options, () => this.tell({ kind: "check due" }));
+    this.timer = new CheckTimer(options, () => this.post({ kind: "check due" }));
     this.known = new KnownLeadership(options.node);
     this.store = new LeadershipStore(options);
     this.extensionRequests = new ExtensionRequests(options.node, options.peers);
   }
 
   start(): void {
-    this.tell({ kind: "check due" });
+    this.post({ kind: "check due" });
   }
 
   /** Stops the timer. A lease that this controller holds is not ended early but expires. */
@@ -108,9 +108,9 @@
       const { term, leaseId } = this.ownTerm;
       void this.store
         .renew(leaseId, sentMs)
-        .then((outcome) => this.tell({ kind: "renewal finished", term, outcome, sentMs }));
+        .then((outcome) => this.post({ kind: "renewal finished", term, outcome, sentMs }));
     } else {
-      void this.store.read(sentMs).then((view) => this.tell({ kind: "leadership read", view, sentMs }));
+      void this.store.read(sentMs).then((view) => this.post({ kind: "leadership read", view, sentMs }));
     }
   }
 
@@ -154,7 +154,7 @@
     log.info(`ending the leadership lease of term ${record.term}: ${reason}`);
     void this.store.endLease(record.leaseId).then(() => {
       this.isRequestInFlight = false;
-      this.tell({ kind: "check due" });
+      this.post({ kind: "check due" });
     });
   }
 
@@ -167,7 +167,7 @@
 
   private campaign(view: LeadershipView): void {
     this.isRequestInFlight = true;
-    void this.store.campaign(view, (won) => this.tell({ kind: "campaign finished", won }));
+    void this.store.campaign(view, (won) => this.post({ kind: "campaign finished", won }));
   }
 
   private handleCampaignResult(won: WonTerm | null): void {
@@ -295,6 +295,6 @@
     const nowMs = clock.nowMs();
     if (this.timer.isStopped || !this.ownTerm || !this.livenessWrites.isActive(nowMs)) return;
     this.store.writeLiveness(this.ownTerm, nowMs);
-    clock.after(LIVENESS_WRITE_MS, () => this.tell({ kind: "liveness write due" }));
+    clock.after(LIVENESS_WRITE_MS, () => this.post({ kind: "liveness write due" }));
   }
 }
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -35,7 +35,7 @@
 
 /** Accepts requests to the cloud; they are sent asynchronously. */
 export interface CloudRequests {
-  tell(request: CloudRequest): void;
+  post(request: CloudRequest): void;
 }
 
 type Message =
@@ -121,7 +121,7 @@
   private scheduleSend(waitMs: number): void {
     if (this.waitTimer) return;
     this.waitTimer = this.clock.after(Math.max(MIN_WAIT_MS, waitMs), () =>
-      this.tell({ kind: "timer expired" }),
+      this.post({ kind: "timer expired" }),
     );
   }
 
@@ -129,8 +129,8 @@
     this.inFlight++;
     const { method, path, body } = buildRequest(call);
     this.http.call(this.address, method, path, body, RESPONSE_TIMEOUT_MS).then(
-      (response) => this.tell({ kind: "response", call, response, sentMs }),
-      () => this.tell({ kind: "response", call, response: null, sentMs }),
+      (response) => this.post({ kind: "response", call, response, sentMs }),
+      () => this.post({ kind: "response", call, response: null, sentMs }),
     );
   }
 
--- a/src/coordination/provisioning/provisioner.ts
+++ b/src/coordination/provisioning/provisioner.ts
@@ -134,7 +134,7 @@
     if (machine.state === "leaving") return;
     log.info(`${machine.name}: scaled in: ${reason}`);
     machine.state = "leaving";
-    this.context.cloud.tell({ kind: "delete", names: [machine.name] });
+    this.context.cloud.post({ kind: "delete", names: [machine.name] });
   }
 
   scaleOut(plan: PlacementPlan, incoming: MachineView[]): void {
@@ -172,7 +172,7 @@
       const order = this.orders.open(target);
       const kind = `${order.type} in ${order.zone}${order.spot ? " (spot)" : ""}`;
       log.info(`scaling out by ${order.count} ${kind}, request ${order.request}`);
-      this.context.cloud.tell({ kind: "create", order });
+      this.context.cloud.post({ kind: "create", order });
     }
   }
 }
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,4 +1,4 @@
-/** Requests to the cloud and its responses. The cloud's own words end here. */
+/** Codecs of the cloud API's requests and responses. Only this module knows the cloud's field names. */
 import type { ListedMachine, MachineType } from "./model.js";
 import {
   asArray,
@@ -9,12 +9,12 @@
   type JsonObject,
 } from "./json.js";
 
-/** Assumed where the cloud doesn't say it, or says zero. */
+/** The fetch rate of a machine type for which the cloud reports no rate, or zero. */
 const DEFAULT_FETCH_GB_PER_S = 0.1;
-/** Assumed where the cloud doesn't say it. */
+/** The boot time of a machine type for which the cloud reports no time. */
 const DEFAULT_BOOT_S = 60;
 
-/** Paths of the cloud's interface. */
+/** The paths of the cloud API. */
 export const cloudPaths = {
   machineTypes: "/flavors",
   createMachines: "/machines",
@@ -23,7 +23,7 @@
     `/machines?after=${encodeURIComponent(after)}&limit=${limit}`,
 };
 
-/** Null when the response can't be read; a type without name, size or zones is left out. */
+/** Decodes a list of machine types; null if it is malformed. Types without name, CPUs, memory or zones are skipped. */
 export function decodeMachineTypes(value: unknown): MachineType[] | null {
   const entries = asArray(asObject(value)?.breeds);
   if (!entries) return null;
@@ -58,7 +58,10 @@
   };
 }
 
-/** In the form of the cloud's own response: the leader stores it for controllers that start without the cloud. */
+/**
+ * Encodes machine types in the format of the cloud's response. The leader stores it for controllers that start while
+ * the cloud is unavailable.
+ */
 export function encodeMachineTypes(types: MachineType[]): JsonObject {
   return {
     breeds: types.map((type) => ({
@@ -76,9 +79,9 @@
   };
 }
 
-/** An order for machines of one kind. */
+/** A request to create machines of one type in one zone. */
 export interface CreateMachinesRequest {
-  /** Idempotency key: the cloud creates the machines of one request once, however often it is sent. */
+  /** Idempotency key: the cloud creates the machines of one request only once, even if the request is retried. */
   request: string;
   type: string;
   zone: string;
@@ -86,7 +89,7 @@
   count: number;
 }
 
-/** The body that orders machines. */
+/** Encodes the body of a request to create machines. */
 export function encodeCreateMachines({
   request,
   type,
@@ -97,22 +100,22 @@
   return { plea: request, breed: type, patch: zone, windfall: spot, howMany: count };
 }
 
-/** The names of the machines created; null when the response can't be read. */
+/** Decodes the names of the created machines; null if the response is malformed. */
 export function decodeCreatedMachines(value: unknown): string[] | null {
   return asStrings(asObject(value)?.tufts);
 }
 
-/** The body of a 503 that says that the cloud has no such machines left, rather than that it is overloaded. */
+/** Returns whether the body of a 503 response means that the cloud has no such machines left, and not an overload. */
 export function isNoCapacity(value: unknown): boolean {
   return asObject(value)?.error === "no capacity";
 }
 
-/** The body that deletes the machines of these names. */
+/** Encodes the body of a request to delete machines. */
 export function encodeDeleteMachines(names: string[]): JsonObject {
   return { tufts: names };
 }
 
-/** One page of the cloud's machines; null when the response can't be read. Entries that can't be read are left out. */
+/** Decodes one page of the list of machines; null if the page is malformed. Malformed entries are skipped. */
 export function decodeMachineList(value: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const page = asObject(value);
   const entries = asArray(page?.tufts);
--- a/src/protocol/json.ts
+++ b/src/protocol/json.ts
@@ -1,44 +1,44 @@
-/** Checks of JSON values whose form is not known yet: each gives the value back if it is of the kind named, else null. */
+/** Type checks of unvalidated JSON values: each returns the value if it has the named type, and null otherwise. */
 
-/** A JSON object whose fields have not been checked. */
+/** A JSON object whose fields have not been validated. */
 export type JsonObject = Record<string, unknown>;
 
-/** The value if it is a JSON object; null otherwise. */
+/** Returns the value if it is an object, and null otherwise; arrays and null are not objects. */
 export function asObject(value: unknown): JsonObject | null {
   return typeof value === "object" && value !== null && !Array.isArray(value) ? (value as JsonObject) : null;
 }
 
-/** The value if it is a string other than ""; null otherwise. */
+/** Returns the value if it is a string other than "", and null otherwise. */
 export function asNonEmptyString(value: unknown): string | null {
   return typeof value === "string" && value !== "" ? value : null;
 }
 
-/** The value if it is true or false; null otherwise. */
+/** Returns the value if it is true or false, and null otherwise. */
 export function asBoolean(value: unknown): boolean | null {
   return typeof value === "boolean" ? value : null;
 }
 
-/** Finite. */
+/** Returns the value if it is a finite number that is not negative, and null otherwise. */
 export function asNonNegativeNumber(value: unknown): number | null {
   return typeof value === "number" && Number.isFinite(value) && value >= 0 ? value : null;
 }
 
-/** The value if it is a whole number from 0; null otherwise. */
+/** Returns the value if it is an integer that is not negative, and null otherwise. */
 export function asNonNegativeInteger(value: unknown): number | null {
   return typeof value === "number" && Number.isInteger(value) && value >= 0 ? value : null;
 }
 
-/** The value if it is an array; null otherwise. */
+/** Returns the value if it is an array, and null otherwise; the elements are not validated. */
 export function asArray(value: unknown): unknown[] | null {
   return Array.isArray(value) ? (value as unknown[]) : null;
 }
 
-/** The array's non-empty strings; whatever else it holds is left out. Null when it is no array. */
+/** Returns the array's non-empty strings and skips its other elements; null if the value is not an array. */
 export function asStrings(value: unknown): string[] | null {
   return asArray(value)?.filter((entry): entry is string => asNonEmptyString(entry) !== null) ?? null;
 }
 
-/** Parses JSON; undefined when it isn't. */
+/** Parses UTF-8 JSON; returns undefined if the body is not valid JSON. */
 export function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString("utf8")) as unknown;
--- a/src/protocol/peers/fieldCodecs.ts
+++ b/src/protocol/peers/fieldCodecs.ts
@@ -1,32 +1,32 @@
-/** Codecs of the fields that peer messages consist of, and the ways to combine them. */
+/** Codecs of the field types of peer messages, and combinators for lists, records and nullable values. */
 import type { FrameReader } from "./frameReader.js";
 import type { FrameWriter } from "./frameWriter.js";
 
-/** How a value stands in a frame; `read` gives back what `write` wrote, and throws when the bytes can't be that. */
+/** The encoding of a value in a frame. `read` decodes what `write` encoded, and throws if the bytes are invalid. */
 export interface Codec<T> {
   write(writer: FrameWriter, value: T): void;
   read(reader: FrameReader): T;
 }
 
-/** A whole number from 0, below 2^48, in six bytes. */
+/** An integer from 0 to 2^48 - 1, in six bytes. */
 export const uint48: Codec<number> = {
   write: (writer, value) => void writer.uint48(value),
   read: (reader) => reader.uint48(),
 };
 
-/** A whole number from 0 that is exact in a double, in eight bytes. */
+/** An integer from 0 to 2^53 - 1, as a double in eight bytes. */
 export const safeInteger: Codec<number> = {
   write: (writer, value) => void writer.safeInteger(value),
   read: (reader) => reader.safeInteger(),
 };
 
-/** One byte: 0 or 1. */
+/** A boolean, as one byte that is 0 or 1. */
 export const boolean: Codec<boolean> = {
   write: (writer, value) => void writer.boolean(value),
   read: (reader) => reader.boolean(),
 };
 
-/** UTF-8 text with its length in two bytes before it. */
+/** A string: its length in bytes as two bytes, then its UTF-8 encoding. */
 export const string: Codec<string> = {
   write: (writer, value) => void writer.string(value),
   read: (reader) => reader.string(),
@@ -34,31 +34,31 @@
 
 const MS_PER_S = 1000;
 
-/** Seconds, to the millisecond. */
+/** A duration in seconds, rounded to whole milliseconds and encoded as a `uint48`. */
 export const seconds: Codec<number> = {
   write: (writer, value) => void writer.uint48(Math.round(value * MS_PER_S)),
   read: (reader) => reader.uint48() / MS_PER_S,
 };
 
-/** A time of day, to the millisecond. */
+/** A time of day, as milliseconds since the Unix epoch in a `uint48`. */
 export const timestamp: Codec<Date> = {
   write: (writer, value) => void writer.uint48(value.getTime()),
   read: (reader) => new Date(reader.uint48()),
 };
 
-/** One of these values, as one byte: its index. Add new values at the end. */
+/** One of the listed values, as its index in one byte. New values must be added at the end to keep the indexes. */
 export function oneOf<T>(values: readonly T[]): Codec<T> {
   return {
     write: (writer, value) => void writer.uint8(values.indexOf(value)),
     read(reader) {
       const index = reader.uint8();
-      if (index >= values.length) throw new RangeError("no such value");
+      if (index >= values.length) throw new RangeError("value index is out of range");
       return values[index]!;
     },
   };
 }
 
-/** A boolean that says whether the value follows. */
+/** A value or null: a boolean that is true if a value follows, then the value. */
 export function nullable<T>(codec: Codec<T>): Codec<T | null> {
   return {
     write(writer, value) {
@@ -69,7 +69,7 @@
   };
 }
 
-/** The number of elements, then each of them. */
+/** A list: the number of its elements, then the elements. */
 export function listOf<T>(element: Codec<T>): Codec<T[]> {
   return {
     write(writer, values) {
@@ -85,16 +85,16 @@
   };
 }
 
-/** A codec for each field; the order in which they are written here is their order in the frame. */
+/** A codec for each field. The order of the properties is the order of the fields in the frame. */
 export type FieldCodecs<T> = { readonly [Field in keyof T]-?: Codec<T[Field]> };
 
-/** Codec of a record whose fields follow one another in a fixed order. */
+/** Codec of an object whose fields are encoded in a fixed order. */
 export interface RecordCodec<T> extends Codec<T> {
-  /** Reads the fields into an object that has others already. */
+  /** Reads the fields into an existing object, whose other fields it leaves unchanged. */
   readInto(reader: FrameReader, target: Partial<T>): void;
 }
 
-/** An object: its fields one after the other, without names or padding. */
+/** Builds the codec of an object: its fields one after another, without names or padding. */
 export function record<T extends object>(fieldCodecs: FieldCodecs<T>): RecordCodec<T> {
   const fields = Object.keys(fieldCodecs) as (keyof T)[];
   const codecs = fields.map((field) => fieldCodecs[field]);
--- a/src/protocol/peers/frameReader.ts
+++ b/src/protocol/peers/frameReader.ts
@@ -1,4 +1,4 @@
-/** Reads a frame that a `FrameWriter` built, field by field; whatever doesn't fit throws a RangeError. */
+/** Reads the fields of a frame that a `FrameWriter` built. Each method throws a RangeError if the bytes are invalid. */
 export class FrameReader {
   private offset = 0;
 
@@ -10,7 +10,7 @@
 
   boolean(): boolean {
     const value = this.uint8();
-    if (value > 1) throw new RangeError("not a boolean");
+    if (value > 1) throw new RangeError("a boolean must be encoded as 0 or 1");
     return value === 1;
   }
 
@@ -22,26 +22,28 @@
   safeInteger(): number {
     this.offset += 8;
     const value = this.buffer.readDoubleBE(this.offset - 8);
-    if (!Number.isSafeInteger(value) || value < 0) throw new RangeError("not a safe integer");
+    if (!Number.isSafeInteger(value) || value < 0)
+      throw new RangeError("value is not a non-negative safe integer");
     return value;
   }
 
   string(): string {
     const byteLength = this.buffer.readUInt16BE(this.offset);
     this.offset += 2 + byteLength;
-    if (this.offset > this.buffer.length) throw new RangeError("frame too short");
+    if (this.offset > this.buffer.length) throw new RangeError("string extends beyond the end of the frame");
     return this.buffer.toString("utf8", this.offset - byteLength, this.offset);
   }
 
-  /** The length of a list that follows; never more than the frame could hold. */
+  /** Reads the number of elements of a list; a number greater than the frame's length in bytes is invalid. */
   listLength(): number {
     const length = this.uint48();
-    if (length > this.buffer.length) throw new RangeError("list longer than its frame");
+    if (length > this.buffer.length) throw new RangeError("list length exceeds the length of the frame");
     return length;
   }
 
-  /** Throws unless the whole frame has been read. */
+  /** Throws a RangeError unless the whole frame has been read. */
   expectEnd(): void {
-    if (this.offset !== this.buffer.length) throw new RangeError("bytes left over");
+    if (this.offset !== this.buffer.length)
+      throw new RangeError("frame has bytes after the end of the message");
   }
 }
--- a/src/protocol/peers/frameWriter.ts
+++ b/src/protocol/peers/frameWriter.ts
@@ -1,10 +1,10 @@
-/** Writes the fields of a frame between controllers; numbers are big-endian. */
+/** The encoding of primitive values in the frames between controllers; integers and doubles are big-endian. */
 
 const INITIAL_BYTES = 256;
-/** A string's length takes two bytes. */
+/** The length of a string is encoded in two bytes. */
 const MAX_STRING_BYTES = 0xffff;
 
-/** Builds a frame field by field, big-endian, in one growing buffer. */
+/** Builds a frame field by field in a buffer that grows as needed. */
 export class FrameWriter {
   private buffer = Buffer.allocUnsafe(INITIAL_BYTES);
   private offset = 0;
@@ -15,12 +15,12 @@
     return this;
   }
 
-  /** One byte, 0 or 1. */
+  /** Writes one byte, 0 or 1. */
   boolean(value: boolean): this {
     return this.uint8(value ? 1 : 0);
   }
 
-  /** Six bytes: counts, terms and milliseconds stay below 2^48. */
+  /** Writes an integer in six bytes, which suffices for counts, terms and milliseconds: they stay below 2^48. */
   uint48(value: number): this {
     this.reserve(6);
     this.buffer.writeUIntBE(value, this.offset, 6);
@@ -28,7 +28,7 @@
     return this;
   }
 
-  /** An integer up to 2^53, as an eight-byte double: fencing tokens and attempts of late terms pass 2^48. */
+  /** Writes an integer up to 2^53 as an eight-byte double. Fencing tokens and attempts of high terms exceed 2^48. */
   safeInteger(value: number): this {
     this.reserve(8);
     this.buffer.writeDoubleBE(value, this.offset);
@@ -36,10 +36,10 @@
     return this;
   }
 
-  /** UTF-8 behind a two-byte length; a longer string throws a RangeError. */
+  /** Writes a two-byte length and the UTF-8 encoding; throws a RangeError if the string is longer than 65,535 bytes. */
   string(value: string): this {
     const byteLength = Buffer.byteLength(value);
-    if (byteLength > MAX_STRING_BYTES) throw new RangeError("text too long for a frame");
+    if (byteLength > MAX_STRING_BYTES) throw new RangeError("string is longer than 65,535 bytes");
     this.reserve(2 + byteLength);
     this.buffer.writeUInt16BE(byteLength, this.offset);
     this.buffer.write(value, this.offset + 2, "utf8");
@@ -47,7 +47,7 @@
     return this;
   }
 
-  /** The frame so far; the writer must not be used after this. */
+  /** Returns the frame. The writer must not be used afterwards. */
   finish(): Buffer {
     return this.buffer.subarray(0, this.offset);
   }
--- a/src/protocol/peers/messageCodecs.ts
+++ b/src/protocol/peers/messageCodecs.ts
@@ -1,6 +1,6 @@
 /**
- * The body of each kind of peer message. Fields stand in their order in the frame: any change to a table below needs a
- * new `PEER_PROTOCOL_VERSION`.
+ * The codecs of the bodies of peer messages. The order of the properties is the order of the fields in the frame, so
+ * any change to the tables below requires a new `PEER_PROTOCOL_VERSION`.
  */
 import type { CommandDelivery, DeliveryResult, ReceivedHeartbeat } from "../model.js";
 import {
@@ -18,23 +18,23 @@
 import type { ConfirmedCancellation, PeerMessage, ServerLoad, TaskCounts } from "./messages.js";
 import { command, heartbeat, unchangedHeartbeat } from "./workerCodecs.js";
 
-/** The kinds of message between controllers. */
+/** The kind of a message between controllers. */
 export type PeerMessageKind = PeerMessage["kind"];
-/** The fields of a kind beside those that each frame begins with. */
+/** The fields of a kind, without those at the start of every frame. */
 type Body<Kind extends PeerMessageKind> = Omit<Extract<PeerMessage, { kind: Kind }>, "kind" | "from">;
 
-/** Tells this program's links from whatever else may connect to the port. */
+/** Identifies a link of this program; other programs may connect to the port as well. */
 const MAGIC = "lichenturn";
 
 const protocolVersion: Codec<number> = {
   write: (writer, version) => void writer.string(MAGIC).uint48(version),
   read(reader) {
-    if (reader.string() !== MAGIC) throw new RangeError("not a controller's greeting");
+    if (reader.string() !== MAGIC) throw new RangeError("hello message does not contain the protocol magic");
     return reader.uint48();
   },
 };
 
-/** An HTTP status; null, for no response, is written as 0. */
+/** An HTTP status, or null without a response, which is encoded as 0. */
 const httpStatus: Codec<number | null> = {
   write: (writer, status) => void writer.uint48(status ?? 0),
   read: (reader) => reader.uint48() || null,
@@ -48,7 +48,7 @@
 
 const confirmedCancellation = record<ConfirmedCancellation>({ id: string, cancelledAt: timestamp });
 
-const serverLoad = record<ServerLoad>({ node: string, machines: uint48, lagMs: uint48 });
+const serverLoad = record<ServerLoad>({ node: string, workerCount: uint48, lagMs: uint48 });
 
 const commandDelivery = record<CommandDelivery>({
   machine: string,
@@ -66,7 +66,7 @@
   heartbeat: nullable(heartbeat),
 });
 
-/** The kind's number is the first byte of a frame. */
+/** The number of each kind, which is the first byte of a frame. */
 export const KIND_NUMBERS: Readonly<Record<PeerMessageKind, number>> = {
   hello: 0,
   "extension request": 1,
@@ -81,7 +81,7 @@
   isolated: 10,
 };
 
-/** Each kind's fields behind its number and its sender. */
+/** The codecs of each kind's fields after the kind's number and the sender. */
 export const BODY_CODECS: { readonly [Kind in PeerMessageKind]: RecordCodec<Body<Kind>> } = {
   hello: record<Body<"hello">>({ version: protocolVersion }),
   "extension request": record<Body<"extension request">>({ term: uint48, requestId: uint48 }),
@@ -96,7 +96,7 @@
     lastGrantIssuedAtMs: uint48,
     lastResyncIssuedAtMs: uint48,
     requestedAtMs: uint48,
-    machines: uint48,
+    workerCount: uint48,
     lagMs: uint48,
     unchanged: listOf(unchangedHeartbeat),
     heartbeats: listOf(receivedHeartbeat),
--- a/src/protocol/peers/workerCodecs.ts
+++ b/src/protocol/peers/workerCodecs.ts
@@ -1,4 +1,4 @@
-/** Codecs of what controllers pass on about workers: heartbeats and commands. */
+/** Codecs of the heartbeats and commands that controllers forward to each other. */
 import type { Command, ExitCause, Heartbeat, TaskPhase, TaskStatus, UnchangedHeartbeat } from "../model.js";
 import {
   listOf,
@@ -31,8 +31,8 @@
 const cause = oneOf(CAUSES);
 
 /*
- * Every heartbeat passes through the next three codecs: written out field by field, in the same order in both directions,
- * they take two thirds of the time that `record` takes.
+ * Every forwarded heartbeat uses the next three codecs. Written out field by field, in the same order for writing and
+ * reading, they take two thirds of the time of `record`.
  */
 
 const taskStatus: Codec<TaskStatus> = {
@@ -40,7 +40,7 @@
     writer.string(task.jobId).uint48(task.task).safeInteger(task.attempt);
     phase.write(writer, task.phase);
     cause.write(writer, task.cause);
-    writer.boolean(task.saved);
+    writer.boolean(task.checkpointSaved);
   },
   read: (reader) => ({
     jobId: reader.string(),
@@ -48,14 +48,14 @@
     attempt: reader.safeInteger(),
     phase: phase.read(reader),
     cause: cause.read(reader),
-    saved: reader.boolean(),
+    checkpointSaved: reader.boolean(),
   }),
 };
 
 const taskStatuses = listOf(taskStatus);
 const interruptionNotice = nullable(seconds);
 
-/** Codec of a worker's heartbeat in full. */
+/** Codec of a complete heartbeat. */
 export const heartbeat: Codec<Heartbeat> = {
   write(writer, value) {
     writer.string(value.machine).string(value.address).string(value.type).string(value.zone);
@@ -78,7 +78,7 @@
   }),
 };
 
-/** Codec of a heartbeat that says nothing new. */
+/** Codec of a heartbeat that differs from the previous one only in its tick. */
 export const unchangedHeartbeat: Codec<UnchangedHeartbeat> = {
   write: (writer, value) =>
     void writer.string(value.machine).safeInteger(value.epoch).safeInteger(value.tick),
@@ -92,7 +92,7 @@
   attempt: safeInteger,
 });
 
-/** A stop is followed by its grace period. */
+/** Codec of a command: the operation, its target and, for a stop only, the grace period. */
 export const command: Codec<Command> = {
   write(writer, value) {
     operation.write(writer, value.op);
--- a/src/protocol/stateStore.ts
+++ b/src/protocol/stateStore.ts
@@ -1,4 +1,7 @@
-/** Requests to the state store, a consensus-backed key-value store, and its responses. Its own words end here. */
+/**
+ * Codecs of the requests and responses of the state store, a consensus-backed key-value store. Only this module knows
+ * its field names.
+ */
 import {
   asArray,
   asNonEmptyString,
@@ -8,44 +11,44 @@
   type JsonObject,
 } from "./json.js";
 
-/** A key with its value and the version by which a compare-and-swap names it. */
+/** A key with its value, and the version that a compare-and-swap compares. */
 export interface Item {
   key: string;
   value: unknown;
   version: number;
 }
 
-/** What a compare-and-swap does to one key; a key with a lease is deleted when the lease ends. */
+/** A write to one key in a compare-and-swap; a key with a lease is deleted when the lease ends. */
 export type Change = { put: string; value: unknown; lease?: number } | { delete: string };
 
-/** A compare-and-swap is executed only if each of these keys still has this version. */
+/** A condition of a compare-and-swap: the key must still have this version. */
 export interface VersionCondition {
   key: string;
-  /** 0: the key does not exist. */
+  /** The expected version; 0 means that the key must not exist. */
   version: number;
 }
 
-/** What a watch has seen: a key got this value, or was deleted. */
+/** An event of a watch: a key was set to a value, or deleted. */
 export type ChangeEvent =
   { key: string; value: unknown; version: number } | { key: string; isDeleted: true; version: number };
 
 /** One page of a list of keys. */
 export interface Page {
   items: Item[];
-  /** The keys go on behind the last item. */
+  /** More keys follow after the last item. */
   more: boolean;
-  /** Of the whole store, when the page was read. */
+  /** The revision of the whole store when the page was read. */
   revision: number;
 }
 
-/** What has changed since a revision. */
-export interface ChangeEvents {
-  /** Watch on from here. */
+/** The changes since a revision. */
+export interface WatchResponse {
+  /** The revision from which the next watch request continues. */
   revision: number;
   events: ChangeEvent[];
 }
 
-/** Paths of the state store's interface. */
+/** The paths of the state store's API. */
 export const stateStorePaths = {
   key: (key: string): string => `/keys/${key}`,
   page: (prefix: string, after: string | null, limit: number): string => {
@@ -66,7 +69,7 @@
   return change.lease === undefined ? put : { ...put, tenure: change.lease };
 }
 
-/** The body of a transaction that is carried out only if all conditions hold. */
+/** Encodes the body of a transaction that is executed only if all conditions hold. */
 export function encodeCompareAndSwap(conditions: VersionCondition[], changes: Change[]): JsonObject {
   return {
     guards: conditions.map((condition) => ({ path: condition.key, stamp: condition.version })),
@@ -74,17 +77,17 @@
   };
 }
 
-/** Null when the response can't be read. */
+/** Decodes the revision of an executed transaction; null if the response is malformed. */
 export function decodeRevision(value: unknown): number | null {
   return asNonNegativeInteger(asObject(value)?.ring);
 }
 
-/** The keys that no longer had the version of their condition; none when the response can't be read. */
+/** Decodes the keys whose conditions did not hold; an empty list if the response is malformed. */
 export function decodeFailedKeys(value: unknown): string[] {
   return asStrings(asObject(value)?.failed) ?? [];
 }
 
-/** Null when the response can't be read. */
+/** Decodes a key with its value and version; null if the response is malformed. */
 export function decodeItem(value: unknown): Item | null {
   const item = asObject(value);
   const key = asNonEmptyString(item?.path);
@@ -92,7 +95,7 @@
   return item && key !== null && version !== null ? { key, value: item.data, version } : null;
 }
 
-/** Null when the response can't be read, even in one item: what is left out would look absent. */
+/** Decodes a page; null if any item is malformed, because a skipped key would look absent. */
 export function decodePage(value: unknown): Page | null {
   const page = asObject(value);
   const entries = asArray(page?.entries);
@@ -107,18 +110,18 @@
   return { items, more: page.more === true, revision };
 }
 
-/** Null when the response can't be read. */
+/** Decodes the id of a new lease; null if the response is malformed. */
 export function decodeLeaseId(value: unknown): number | null {
   return asNonNegativeInteger(asObject(value)?.tenure);
 }
 
-/** The body that opens a lease with that time to live, in milliseconds. */
+/** Encodes the body of a request for a lease with a time to live in milliseconds. */
 export function encodeLeaseRequest(ttlMs: number): JsonObject {
   return { lifeMs: ttlMs };
 }
 
-/** Null when the response can't be read; changes that are neither a put nor a deletion are left out. */
-export function decodeChangeEvents(value: unknown): ChangeEvents | null {
+/** Decodes a watch response; null if it is malformed. Changes that are neither a put nor a deletion are skipped. */
+export function decodeWatchResponse(value: unknown): WatchResponse | null {
   const response = asObject(value);
   const revision = asNonNegativeInteger(response?.ring);
   const entries = asArray(response?.news);
--- a/src/protocol/users.ts
+++ b/src/protocol/users.ts
@@ -1,4 +1,7 @@
-/** The users' interface: submissions, the state of jobs, and which request a path means. The users' own words end here. */
+/**
+ * The user API: the codecs of submissions and job statuses, and the routing of requests. Only this module knows the
+ * names that users see.
+ */
 import type { JobKind, JobSpec, Priority } from "./model.js";
 import {
   asArray,
@@ -15,28 +18,29 @@
 const MAX_TASKS = 100_000;
 const JOB_ID = /^job-[0-9]{1,40}$/;
 
-/** How far a job is, as users see it. */
+/** The phase of a job that users see. */
 export type JobPhase = "pending" | "running" | "done" | "cancelled";
 
-const PHASE_WORDS: Record<JobPhase, string> = {
+const PHASE_NAMES: Record<JobPhase, string> = {
   pending: "pending",
   running: "running",
   done: "done",
   cancelled: "withdrawn",
 };
 
-/** Does the text have the form of a job's id? */
+/** Returns whether the text has the format of a job id. */
 export function isJobId(text: string): boolean {
   return JOB_ID.test(text);
 }
 
-/** One field of a submission: the users' name for it, and how its value is read and written. */
+/** The codec of one field of a submission. */
 interface SubmissionField<T> {
+  /** The name of the field in a submission. */
   name: string;
-  /** Null: the value is malformed. */
+  /** Returns null if the value is malformed. */
   decode(value: unknown): T | null;
   encode(value: T): unknown;
-  /** Null and missing mean the same. */
+  /** The field may be missing or null, and is then decoded as null. */
   isOptional: boolean;
 }
 
@@ -48,12 +52,12 @@
   return { name, decode, encode: (value) => value, isOptional: true };
 }
 
-/** A field whose value is one of a table's words. */
+/** A field whose value is one of the table's keys. */
 function oneOf<T>(name: string, values: Record<string, T>): SubmissionField<T> {
   return {
     name,
-    decode: (word) => (typeof word === "string" && Object.hasOwn(values, word) ? values[word]! : null),
-    encode: (value) => Object.keys(values).find((word) => values[word] === value),
+    decode: (key) => (typeof key === "string" && Object.hasOwn(values, key) ? values[key]! : null),
+    encode: (value) => Object.keys(values).find((key) => values[key] === value),
     isOptional: false,
   };
 }
@@ -72,7 +76,7 @@
   return list?.every((entry) => asNonEmptyString(entry) !== null) ? (list as string[]) : null;
 }
 
-/** In the order in which malformed fields are named to the user. */
+/** The codecs of all fields, in the order in which an error message names malformed fields. */
 const SUBMISSION_FIELDS: { readonly [Field in keyof JobSpec]: SubmissionField<JobSpec[Field]> } = {
   id: required("ref", asJobId),
   className: required("strain", asNonEmptyString),
@@ -98,18 +102,18 @@
 
 const SPEC_FIELDS = Object.keys(SUBMISSION_FIELDS) as (keyof JobSpec)[];
 
-/** The codec of a spec's field, for loops over all of them; each is only given values of its own field. */
+/** Returns the codec of a field for loops over all fields. The caller must pass it only values of that field. */
 function submissionField(field: keyof JobSpec): SubmissionField<unknown> {
   return SUBMISSION_FIELDS[field];
 }
 
-/** What became of reading a submission. */
+/** The result of decoding a submission. */
 export type DecodedSubmission =
   | { kind: "valid"; spec: JobSpec }
-  /** The reason is for the user. */
+  /** `reason` is an error message for the user. */
   | { kind: "malformed"; reason: string };
 
-/** Checks the form of a submission only; whether such a job can ever run is for its receiver to say. */
+/** Decodes a submission and validates its format. It does not check whether the job can ever run; admission does. */
 export function decodeSubmission(value: unknown): DecodedSubmission {
   const body = asObject(value);
   if (!body) return { kind: "malformed", reason: "the body must be a JSON object" };
@@ -129,7 +133,7 @@
   return { kind: "valid", spec: spec as JobSpec };
 }
 
-/** A submission as its users write it. */
+/** Encodes a submission in the format in which users write it. */
 export function encodeSubmission(spec: JobSpec): JsonObject {
   const body: JsonObject = {};
   for (const field of SPEC_FIELDS) {
@@ -139,14 +143,14 @@
   return body;
 }
 
-/** The response to a submission or a cancellation. */
+/** Encodes the response to a submission or a cancellation. */
 export function encodeJobPhase(id: string, phase: JobPhase): JsonObject {
-  return { ref: id, phase: PHASE_WORDS[phase] };
+  return { ref: id, phase: PHASE_NAMES[phase] };
 }
 
-/** The response to a request for a job's state, with its numbers of finished and of running tasks. */
+/** Encodes the response to a status request, with the numbers of the job's finished and running tasks. */
 export function encodeJobStatus(id: string, phase: JobPhase, done: number, running: number): JsonObject {
-  return { ref: id, phase: PHASE_WORDS[phase], done, running };
+  return { ref: id, phase: PHASE_NAMES[phase], done, running };
 }
 
 const HEARTBEAT_PATH = "/checkin";
@@ -154,21 +158,21 @@
 const JOBS_PATH = "/v1/jobs";
 const JOB_PATH = /^\/v1\/jobs\/([^/]+)(\/cancel)?$/;
 
-/** What a request to a controller asks for. */
+/** The API call that a request to a controller is routed to. */
 export type ApiRoute =
   | { call: "submit" }
   | { call: "show"; id: string }
   | { call: "cancel"; id: string }
   | { call: "ready" }
   | { call: "heartbeat" }
-  /** With 405, `allow` names the path's only method. */
+  /** There is no such path (404) or method (405); with 405, `allow` is the only method of the path. */
   | { call: "none"; status: 404 | 405; allow?: string };
 
 function routeFor(method: string, expectedMethod: "GET" | "POST", found: ApiRoute): ApiRoute {
   return method === expectedMethod ? found : { call: "none", status: 405, allow: expectedMethod };
 }
 
-/** Which call a method and a path (without query) mean. */
+/** Routes a request by its method and its path without the query string. */
 export function routeRequest(method: string, path: string): ApiRoute {
   if (path === HEARTBEAT_PATH) return routeFor(method, "POST", { call: "heartbeat" });
   if (path === READY_PATH) return routeFor(method, "GET", { call: "ready" });
--- a/src/protocol/workers.ts
+++ b/src/protocol/workers.ts
@@ -1,4 +1,4 @@
-/** Heartbeats of workers, the responses to them, and commands sent to workers. The workers' own words end here. */
+/** Codecs of the worker protocol: heartbeats, their responses and commands. Only this module knows its field names. */
 import type { Command, ExitCause, Heartbeat, TaskPhase, TaskStatus } from "./model.js";
 import {
   asArray,
@@ -17,7 +17,7 @@
   exited: "exited",
 };
 
-/** Causes that this version doesn't know count as "other". */
+/** The exit causes by their wire names; a cause that is not listed is decoded as `other`. */
 const CAUSES: Record<string, ExitCause> = {
   done: "done",
   stopped: "stopped",
@@ -30,18 +30,21 @@
 };
 
 const CHAR_CODE_OF_ZERO = 48;
-/** More digits than any task number has; keeps the number exact. */
+/** No task index has more digits, and an index of this length is exact in a double. */
 const MAX_TASK_DIGITS = 9;
 
-/** The path at which a worker takes commands. */
+/** The path at which a worker accepts commands. */
 export const DIRECT_COMMANDS_PATH = "/commands";
 
-/** A task's name as workers and users know it. */
+/** Returns the name of a task on the wire: the job id, a slash and the task's index. */
 export function taskName(jobId: string, task: number): string {
   return `${jobId}/${task}`;
 }
 
-/** The number behind a task name's last slash; -1 when it is none. Digit by digit: it runs for each task of a heartbeat. */
+/**
+ * Returns the task index after the last slash of a task name, or -1 if there is no valid index. It parses digit by
+ * digit for speed, because it runs for each task of each heartbeat.
+ */
 function taskNumber(name: string, slashIndex: number): number {
   const digits = name.length - slashIndex - 1;
   if (digits < 1 || digits > MAX_TASK_DIGITS) return -1;
@@ -64,12 +67,19 @@
   const phase = PHASES[entry.phase];
   if (task < 0 || attempt === null || !phase) return null;
   const cause = phase === "exited" ? (CAUSES[asNonEmptyString(entry.cause) ?? ""] ?? "other") : null;
-  return { jobId: name.slice(0, slashIndex), task, attempt, phase, cause, saved: entry.kept === true };
+  return {
+    jobId: name.slice(0, slashIndex),
+    task,
+    attempt,
+    phase,
+    cause,
+    checkpointSaved: entry.kept === true,
+  };
 }
 
 /**
- * A worker's heartbeat; null when it can't be one. A task that can't be read makes the whole heartbeat unreadable: without
- * it, the task would look gone.
+ * Decodes a heartbeat; null if it is malformed. One malformed task makes the whole heartbeat malformed, because the
+ * leader would take a skipped task for one that no longer exists on the machine.
  */
 export function decodeHeartbeat(value: unknown): Heartbeat | null {
   const body = asObject(value);
@@ -105,17 +115,17 @@
   return { verb: command.op, ...target };
 }
 
-/** The body of a 200 to a heartbeat: it renews the worker's lease and may bring commands. */
+/** Encodes the body of a 200 response to a heartbeat, which renews the worker's lease and may contain commands. */
 export function encodeHeartbeatResponse(fencingToken: number, commands: Command[]): JsonObject {
   return { crook: fencingToken, bids: commands.map(encodeCommand) };
 }
 
-/** Commands sent to a worker outside its heartbeats; one with another epoch refuses them. */
+/** Encodes commands that are sent to a worker outside its heartbeats. A worker with another epoch rejects them. */
 export function encodeDirectCommands(fencingToken: number, epoch: number, commands: Command[]): JsonObject {
   return { crook: fencingToken, bloom: epoch, bids: commands.map(encodeCommand) };
 }
 
-/** The body of a 421, which sends a worker to that node; with null it picks the next node by itself. */
+/** Encodes the body of a 421 response, which redirects a worker to a node; with null, the worker chooses one. */
 export function encodeRedirect(node: string | null): JsonObject {
   return node === null ? {} : { steward: node };
 }
--- a/src/transport/actor.ts
+++ b/src/transport/actor.ts
@@ -1,43 +1,43 @@
-/** Actors: state that only one message at a time touches, so that no lock is needed. */
+/** The base class of actors. Only one message handler at a time accesses an actor's state, so it needs no locks. */
 import { describeException, log } from "./log.js";
 
-/** Runs what follows it once the present turn's code is through; `queueMicrotask` makes a resource for each call. */
-const settled = Promise.resolve();
+/** `then` on this promise schedules a microtask without the async resource that each `queueMicrotask` call creates. */
+const resolvedPromise = Promise.resolve();
 
 /**
- * An object with a mailbox: messages are handled one at a time, in order, and never inside the sender's own turn, so
- * that only the actor itself touches its state.
+ * An object with a mailbox. Messages are handled one at a time, in the order in which they were posted, and never
+ * synchronously within `post`, so a handler is never re-entered.
  */
 export abstract class Actor<Message extends { kind: string }> {
   private readonly queue: Message[] = [];
   private isDrainScheduled = false;
 
-  /** The name stands in front of this actor's log lines. */
+  /** `actorName` is the prefix of this actor's log lines. */
   protected constructor(private readonly actorName: string) {}
 
-  /** Puts a message into the mailbox; it is handled after the present turn. */
-  tell(message: Message): void {
+  /** Adds a message to the mailbox; a later microtask handles it. */
+  post(message: Message): void {
     this.queue.push(message);
     if (!this.isDrainScheduled) {
       this.isDrainScheduled = true;
-      void settled.then(this.drain);
+      void resolvedPromise.then(this.drain);
     }
   }
 
-  /** Handles one message. What it throws goes to `failed`; the messages behind it are handled all the same. */
+  /** Handles one message. An exception is passed to `handleError`; the messages after it are still handled. */
   protected abstract handle(message: Message): void;
 
   /**
-   * Called for an exception out of `handle`: one bad message must not end the process. Logs it; an actor that owes its
-   * sender a response overrides this, calls it and responds.
+   * Logs an exception thrown by `handle`, because one bad message must not end the process. An actor that owes the
+   * sender a response overrides this method to send an error response as well.
    */
-  protected failed(message: Message, error: unknown): void {
+  protected handleError(message: Message, error: unknown): void {
     this.logFailure(message.kind, error);
   }
 
-  /** Logs an exception with its stack, under the actor's name and the kind of the message that was handled. */
+  /** Logs an exception with its stack trace, the actor's name and the kind of the message whose handler threw it. */
   protected logFailure(kind: string, error: unknown): void {
-    log.error(`${this.actorName}: ${kind}: ${describeException(error)}`);
+    log.error(`${this.actorName}: handling of "${kind}" failed: ${describeException(error)}`);
   }
 
   private readonly drain = (): void => {
@@ -47,7 +47,7 @@
       try {
         this.handle(message);
       } catch (error) {
-        this.failed(message, error);
+        this.handleError(message, error);
       }
     }
   };
--- a/src/transport/clock.ts
+++ b/src/transport/clock.ts
@@ -1,20 +1,20 @@
-/** Time and timers. Every layer is given its clock, so that tests can run on a simulated one. */
+/** Time and timers. Components receive their clock as a dependency, so that tests can run them on a simulated clock. */
 export interface Clock {
-  /** Milliseconds on a monotonic clock with an arbitrary start. */
+  /** The time in milliseconds on a monotonic clock whose origin is arbitrary. */
   nowMs(): number;
-  /** Time of day: as good as the operator's clocks, and it may jump. */
+  /** The time of day. It is only as accurate as the host's system clock, and it may jump. */
   wallTime(): Date;
-  /** Calls `run` once after the delay; a negative delay counts as 0. Whoever sets a timer cancels it. */
+  /** Calls `run` once after the delay; a negative delay counts as 0. The caller owns the timer and cancels it. */
   after(delayMs: number, run: () => void): Timer;
 }
 
-/** A timer that has been set; cancelling one that has fired does nothing. */
+/** A pending or fired timer, as returned by `Clock.after`. */
 export interface Timer {
-  /** Does nothing once the timer has fired. */
+  /** Prevents a pending timer from firing; does nothing once the timer has fired. */
   cancel(): void;
 }
 
-/** The process's own clock and timers. */
+/** The clock of the process, with the timers of Node.js. */
 export const systemClock: Clock = {
   nowMs: () => performance.now(),
   wallTime: () => new Date(),
--- a/src/transport/eventLoopLag.ts
+++ b/src/transport/eventLoopLag.ts
@@ -1,14 +1,16 @@
-/** How late this process's timers fire: the measure of overload that every controller reports. */
+/** Measures event loop lag, which every controller reports as its measure of overload. */
 import type { Clock, Timer } from "./clock.js";
 
-/** Each sample wakes the process: a tenth of all its wake-ups, when this was 100 ms. */
+/** Each sample wakes the process: with an interval of 100 ms, samples caused a tenth of all its wake-ups. */
 const SAMPLE_INTERVAL_MS = 400;
-/** Weight of one sample in the moving average, which thus covers about five samples, or two seconds. */
+/** Weight of one sample in the moving average, which therefore covers about five samples, or two seconds. */
 const SAMPLE_WEIGHT = 0.2;
+/** Upper bound of the weight of one sample, however late it is. */
 const MAX_SAMPLE_WEIGHT = 0.8;
 
-/** How overloaded this process is: by how much its timers fire late, as a moving average. */
+/** Keeps a moving average of how late this process's timers fire. */
 export class EventLoopLagMeter {
+  /** The moving average, in milliseconds. */
   lagMs = 0;
   private timer: Timer | null = null;
 
@@ -27,7 +29,7 @@
   }
 
   private addSample(lateMs: number): void {
-    // A long pause counts for all the samples that it swallowed.
+    // After a long pause, the weight of this sample includes the samples that the pause prevented.
     const weight = Math.min(MAX_SAMPLE_WEIGHT, SAMPLE_WEIGHT * (1 + lateMs / SAMPLE_INTERVAL_MS));
     this.lagMs += (lateMs - this.lagMs) * weight;
   }
--- a/src/transport/frames.ts
+++ b/src/transport/frames.ts
@@ -1,16 +1,16 @@
-/** Frames in a byte stream: a 4-byte big-endian length, then so many bytes of payload. */
+/** Framing of a byte stream. A frame is its payload's length as a 4-byte big-endian integer, then the payload. */
 
 const LENGTH_BYTES = 4;
-/** Longer payloads are neither sent nor read. */
+/** A longer payload is not sent, and a received frame that announces one is invalid. */
 export const MAX_PAYLOAD_BYTES = 256 * 1024;
 
-/** Splits a byte stream, which comes in parts cut anywhere, into the payloads of its frames. */
+/** Splits a byte stream into the payloads of its frames; chunks of the stream may begin and end anywhere in a frame. */
 export class FrameDecoder {
   private buffered: Buffer = Buffer.alloc(0);
 
-  /** The payloads that this part completes; null when a frame is too long, so that the stream can't be one of frames. */
-  push(part: Buffer): Buffer[] | null {
-    this.buffered = this.buffered.length === 0 ? part : Buffer.concat([this.buffered, part]);
+  /** Returns the payloads that this chunk completes, or null if a frame is too long, which makes the stream invalid. */
+  push(chunk: Buffer): Buffer[] | null {
+    this.buffered = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const payloads: Buffer[] = [];
     while (this.buffered.length >= LENGTH_BYTES) {
       const end = LENGTH_BYTES + this.buffered.readUInt32BE(0);
@@ -23,7 +23,7 @@
   }
 }
 
-/** The payload with its length in front of it. */
+/** Encodes a frame: the payload's length, then the payload. */
 export function encodeFrame(payload: Buffer): Buffer {
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + payload.length);
   frame.writeUInt32BE(payload.length, 0);
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -1,31 +1,31 @@
-/** HTTP requests of a controller to the state store, the cloud and the workers: JSON both ways, over kept connections. */
+/** The HTTP client for the state store, the cloud and the workers, with JSON bodies and persistent connections. */
 import * as http from "node:http";
 import { splitAddress } from "./address.js";
 
-/** Connections to one address that are kept open while idle. */
+/** Maximum number of idle connections that are kept open to one address. */
 const MAX_IDLE_SOCKETS = 2;
 
-/** A response that came back whole. */
+/** A complete response. */
 export interface ClientResponse {
   status: number;
-  /** The parsed JSON; null for an empty body. */
+  /** The parsed JSON, or null if the body is empty. */
   body: unknown;
 }
 
-/** No whole response came: the request may or may not have been executed, now or later. */
+/** No complete response was received. The server may have executed the request, may still do so, or may never do so. */
 export class NoResponseError extends Error {
   constructor(
     reason: string,
-    /** The connection was never made, so nothing can have been sent. */
+    /** True if no connection was established, so that nothing can have been sent. */
     readonly neverSent: boolean,
   ) {
     super(reason);
   }
 }
 
-/** Sends HTTP requests; rejects with `NoResponseError` when no response came back. */
+/** Sends HTTP requests; `HttpClient` is the implementation over real sockets. */
 export interface HttpCaller {
-  /** Resolves with any response whatever its status; rejects with a `NoResponseError`. */
+  /** Resolves with a response of any status; rejects with a `NoResponseError` if none is complete in time. */
   call(
     address: string,
     method: string,
@@ -35,17 +35,17 @@
   ): Promise<ClientResponse>;
 }
 
-/** Keeps connections open, one request at a time on each, a few for each address. */
+/** Sends requests over persistent connections, with one request at a time on each connection. */
 export class HttpClient implements HttpCaller {
   private readonly agent: http.Agent;
 
-  /** No more than `maxSockets` connections to one address. */
+  /** `maxSockets` is the maximum number of connections to one address. */
   constructor(maxSockets: number) {
     this.agent = new http.Agent({
       keepAlive: true,
       maxSockets,
       maxFreeSockets: MAX_IDLE_SOCKETS,
-      // The connection used last is the least likely to be closed by the other side.
+      // The most recently used connection is the least likely to have been closed by the server.
       scheduling: "lifo",
       timeout: 0,
     });
@@ -58,7 +58,7 @@
     body: unknown,
     timeoutMs: number,
   ): Promise<ClientResponse> {
-    // A string, not a buffer: it goes out together with the headers, in one piece.
+    // Node.js writes a string body together with the headers in one piece, which it does not do with a buffer.
     const payload = body === undefined ? undefined : JSON.stringify(body);
     const headers: http.OutgoingHttpHeaders = {};
     if (payload) {
@@ -68,18 +68,18 @@
     const { host, port } = splitAddress(address);
     return new Promise((resolve, reject) => {
       const request = http.request({ host, port, method, path, headers, agent: this.agent });
-      new Call(address, request, resolve, reject).start(payload, timeoutMs);
+      new PendingRequest(address, request, resolve, reject).start(payload, timeoutMs);
     });
   }
 
-  /** Breaks off all requests and closes all connections. */
+  /** Aborts all requests and closes all connections. */
   close(): void {
     this.agent.destroy();
   }
 }
 
-/** One request on its way; owns its timer, and settles once. */
-class Call {
+/** One request in flight. Owns its timeout, and settles the promise of the request exactly once. */
+class PendingRequest {
   private isSettled = false;
   private isConnected = false;
   private timer: NodeJS.Timeout | undefined;
@@ -104,11 +104,13 @@
   }
 
   private receive(response: http.IncomingMessage): void {
-    const parts: Buffer[] = [];
-    response.on("data", (part: Buffer) => parts.push(part));
+    const chunks: Buffer[] = [];
+    response.on("data", (chunk: Buffer) => chunks.push(chunk));
     response.on("error", (error) => this.fail(`${this.address}: ${error.message}`));
-    response.on("aborted", () => this.fail(`${this.address}: response cut short`));
-    response.on("end", () => this.finish(response.statusCode ?? 0, Buffer.concat(parts).toString("utf8")));
+    response.on("aborted", () =>
+      this.fail(`${this.address}: connection closed before the response was complete`),
+    );
+    response.on("end", () => this.finish(response.statusCode ?? 0, Buffer.concat(chunks).toString("utf8")));
   }
 
   private finish(status: number, text: string): void {
--- a/src/transport/httpServer.ts
+++ b/src/transport/httpServer.ts
@@ -1,50 +1,51 @@
-/** The HTTP server of a controller, for workers and users: JSON responses, bounded bodies and connections. */
+/** The HTTP server for workers and users, with JSON responses and limits on body size and connections. */
 import * as http from "node:http";
 import { splitAddress } from "./address.js";
 
-/** An idle connection is closed after this: workers and load balancers send over the same one again and again. */
+/** Idle time after which a connection is closed. Workers and load balancers reuse connections, so it is long. */
 const KEEP_ALIVE_MS = 75_000;
-/** A request that has not come whole by then is given up. */
+/** Time in which a request must be received completely. */
 const REQUEST_TIMEOUT_MS = 15_000;
-/** Connections that wait in the kernel until they are accepted; the default of Node.js. */
+/** Maximum length of the kernel's queue of connections that are not accepted yet; the default of Node.js. */
 const LISTEN_BACKLOG = 511;
 const BAD_REQUEST = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/** A request that was received whole. */
+/** A completely received request. */
 export interface ServerRequest {
   method: string;
-  /** Path without the query. */
+  /** The path without the query string. */
   path: string;
-  /** The raw body; at most `maxBodyBytes` long. */
+  /** The raw body, at most `maxBodyBytes` long. */
   body: Buffer;
 }
 
-/** The response to a request. */
+/** The response of a handler to a request. */
 export interface ServerResponse {
   status: number;
-  /** Sent as JSON. */
+  /** The value that is sent as JSON; undefined and null are sent as an empty object. */
   body: unknown;
   headers?: Record<string, string>;
 }
 
-/** Responds through `reply`, now or later, exactly once; later calls do nothing. */
+/** Handles a request and calls `reply` once, synchronously or later; further calls of `reply` do nothing. */
 export type RequestHandler = (request: ServerRequest, reply: (response: ServerResponse) => void) => void;
 
-/** How the server listens, its limits, and who handles its requests. */
+/** The listening address, limits and callbacks of a server. */
 export interface HttpServerOptions {
-  /** Host and port. */
+  /** The listening address, as `host:port`. */
   listen: string;
+  /** A request with a longer body is answered with 413. */
   maxBodyBytes: number;
-  /** Connections beyond this are closed at once. */
+  /** Maximum number of connections; further ones are closed as soon as they are accepted. */
   maxConnections: number;
   handler: RequestHandler;
-  /** Takes what a handler throws, and errors of the listening socket. */
+  /** Called with exceptions from the handler and errors of the listening socket. */
   onError: (error: Error) => void;
 }
 
-/** One request on its way to the handler, and its response. */
+/** One HTTP exchange: collects the request body, calls the handler and sends its response. */
 class Exchange {
-  private readonly parts: Buffer[] = [];
+  private readonly chunks: Buffer[] = [];
   private size = 0;
   private isDone = false;
 
@@ -56,22 +57,22 @@
 
   start(): void {
     if (Number(this.request.headers["content-length"] ?? 0) > this.options.maxBodyBytes) {
-      this.refuseBody();
+      this.rejectBody();
       return;
     }
-    this.request.on("data", (part: Buffer) => this.addPart(part));
-    // Broken off by the client: nobody is left to respond to.
+    this.request.on("data", (chunk: Buffer) => this.addChunk(chunk));
+    // The client aborted the request, so no response can reach it.
     this.request.on("error", () => (this.isDone = true));
     this.request.on("end", () => this.handle());
   }
 
-  private addPart(part: Buffer): void {
-    this.size += part.length;
-    if (this.size > this.options.maxBodyBytes) this.refuseBody();
-    else this.parts.push(part);
+  private addChunk(chunk: Buffer): void {
+    this.size += chunk.length;
+    if (this.size > this.options.maxBodyBytes) this.rejectBody();
+    else this.chunks.push(chunk);
   }
 
-  private refuseBody(): void {
+  private rejectBody(): void {
     this.reply({ status: 413, body: { error: "body too large" }, headers: { Connection: "close" } });
     this.request.removeAllListeners("data");
     this.request.resume();
@@ -82,7 +83,7 @@
     const url = this.request.url ?? "/";
     const queryIndex = url.indexOf("?");
     const path = queryIndex < 0 ? url : url.slice(0, queryIndex);
-    const body = this.parts.length === 1 ? this.parts[0]! : Buffer.concat(this.parts);
+    const body = this.chunks.length === 1 ? this.chunks[0]! : Buffer.concat(this.chunks);
     try {
       this.options.handler({ method: this.request.method ?? "GET", path, body }, this.reply);
     } catch (error) {
@@ -95,7 +96,7 @@
     if (this.isDone) return;
     this.isDone = true;
     if (this.response.destroyed) return;
-    // A string, not a buffer: it goes out together with the headers, in one piece.
+    // Node.js writes a string body together with the headers in one piece, which it does not do with a buffer.
     const payload = JSON.stringify(response.body ?? {});
     this.response.writeHead(response.status, {
       "Content-Type": "application/json",
@@ -107,9 +108,9 @@
 }
 
 /**
- * Starts the one HTTP server of a controller; whoever calls this closes it. A half-sent request is given up after a
- * while, a body over the limit is refused without reading on, and an exception in a handler becomes a 500 for that
- * request alone. Rejects when the address can't be listened on.
+ * Starts an HTTP server, which the caller must close. An incomplete request times out, a body over the limit is
+ * rejected with 413 and the rest of it is discarded, and an exception in the handler causes a 500 response to that
+ * request only. The promise rejects if the server can't listen on the address.
  */
 export function startHttpServer(options: HttpServerOptions): Promise<http.Server> {
   const server = http.createServer(
--- a/src/transport/log.ts
+++ b/src/transport/log.ts
@@ -1,13 +1,13 @@
-/** The process's log: one line each on standard error, from `configureLog` on at the chosen level. */
+/** The log of the process. After a call of `configureLog`, log lines go to standard error at the configured level. */
 import loglevel from "loglevel";
 
-/** How much is logged, each level including those before it. */
+/** The log levels, from least to most verbose; each level includes those before it. */
 export type LogLevel = "error" | "info" | "debug";
 
 const LEVELS: Record<string, LogLevel> = { error: "error", info: "info", debug: "debug" };
 const DEFAULT_LEVEL: LogLevel = "info";
 
-/** Sets level and node name of all log lines of this process; an unknown level counts as `info`. */
+/** Sets the log level and the node name that each line contains; the default and an unknown level mean `info`. */
 export function configureLog(level: string | undefined, nodeName: string): void {
   loglevel.methodFactory =
     (method) =>
@@ -18,17 +18,17 @@
   loglevel.setLevel(LEVELS[level ?? DEFAULT_LEVEL] ?? DEFAULT_LEVEL, false);
 }
 
-/** Writes log lines to standard error; text is given as a function where it costs something to make. */
+/** Writes log lines at the level of the method's name. */
 export const log = {
   error: (text: string): void => loglevel.error(text),
   info: (text: string): void => loglevel.info(text),
-  /** The text is only made when the level asks for it. */
+  /** `text` is only called if debug lines are logged, so an expensive text costs nothing otherwise. */
   debug: (text: () => string): void => {
     if (loglevel.getLevel() <= loglevel.levels.DEBUG) loglevel.debug(text());
   },
 };
 
-/** An exception as text for a log line: with its stack where it has one. */
+/** Returns the text of an exception for a log line: its stack trace, if it has one. */
 export function describeException(error: unknown): string {
   return String((error as Error | null | undefined)?.stack ?? error);
 }
--- a/src/transport/peerLinks.ts
+++ b/src/transport/peerLinks.ts
@@ -1,71 +1,71 @@
 /**
- * Links between controllers. Each controller dials each of its peers and only sends on the links that it dialled; it only
- * receives on those that come in.
+ * Links between controllers. Each controller connects to each of its peers, sends only on these outgoing links, and
+ * receives only on incoming links.
  */
 import * as net from "node:net";
 import { splitAddress } from "./address.js";
 import type { Clock, Timer } from "./clock.js";
 import { encodeFrame, FrameDecoder, MAX_PAYLOAD_BYTES } from "./frames.js";
 
-/** A connection attempt into a network partition hangs without an error: it is given up and made anew. */
+/** Timeout of a connection attempt: an attempt across a network partition hangs without an error. */
 const CONNECT_TIMEOUT_MS = 2500;
-/** From the loss of an established link to the next attempt. */
-const REDIAL_MS = 30;
-/** From a failed attempt to the next one. */
-const RETRY_MS = 400;
-/** A link with more bytes unsent than this belongs to a peer that doesn't read. */
+/** Delay between the loss of an established link and the next connection attempt. */
+const RECONNECT_DELAY_MS = 30;
+/** Delay between a failed connection attempt and the next one. */
+const CONNECT_RETRY_DELAY_MS = 400;
+/** Maximum send buffer of a link; a longer one means that the peer has stopped reading. */
 const MAX_UNSENT_BYTES = 4 * MAX_PAYLOAD_BYTES;
 
-/** Another controller. */
+/** The name and address of another controller. */
 export interface Peer {
   name: string;
-  /** Host and port at which it accepts links. */
+  /** The address on which the peer accepts links, as `host:port`. */
   address: string;
 }
 
 /** Sends frames to other controllers. */
-export interface PeerPort {
-  /** Sends if there is a link, and says whether; a peer that can't be reached just misses the message. */
+export interface PeerSender {
+  /** Sends the payload if the link is up, and returns whether it did. An unreachable peer misses the message. */
   send(peer: string, payload: Buffer): boolean;
 }
 
-/** Takes the frames of one incoming link, in order; returns null, or the reason to close the link. */
-export type LinkReceiver = (payload: Buffer) => string | null;
+/** Handles the payloads of one incoming link, in order; returns null, or the reason why the link must be closed. */
+export type FrameHandler = (payload: Buffer) => string | null;
 
-/** How links are opened, and who takes what comes in. */
+/** The addresses and callbacks of the links. */
 export interface PeerLinkOptions {
-  /** Host and port. */
+  /** The address on which this controller accepts links, as `host:port`. */
   listen: string;
   peers: Peer[];
   clock: Clock;
-  /** The first frame on each link that is dialled. */
-  greeting: Buffer;
-  /** Called for each incoming link. */
-  onLink: () => LinkReceiver;
-  /** An established link has closed, and the peer's host refuses a new one; so many other links are established. */
-  onRefused: (peer: string, establishedLinks: number) => void;
-  /** An incoming link was closed for this reason. */
-  onBadLink: (reason: string) => void;
-  /** Takes what a receiver throws, and errors of the listening socket. */
+  /** The payload of the first frame on each outgoing link. */
+  helloPayload: Buffer;
+  /** Called for each incoming link; returns the handler of its payloads. */
+  onIncomingLink: () => FrameHandler;
+  /** Called when an established link was lost and the peer's host refuses a new one, with the number of other links. */
+  onConnectionRefused: (peer: string, establishedLinks: number) => void;
+  /** Called with the reason when this controller closes an incoming link. */
+  onLinkRejected: (reason: string) => void;
+  /** Called with exceptions from a frame handler and errors of the listening socket. */
   onError: (error: Error) => void;
 }
 
-/** The outgoing link to one peer: owns its socket, and dials again whenever it is lost. */
+/** The outgoing link to one peer. Owns the socket, and reconnects whenever the connection is lost. */
 class OutgoingLink {
   isEstablished = false;
   private socket: net.Socket | null = null;
-  private redialTimer: Timer | null = null;
+  private reconnectTimer: Timer | null = null;
   private isClosed = false;
 
   constructor(
     private readonly address: string,
     private readonly clock: Clock,
-    private readonly greeting: Buffer,
-    private readonly onRefused: () => void,
+    private readonly helloPayload: Buffer,
+    private readonly onConnectionRefused: () => void,
   ) {}
 
-  /** `isRedial`: the link was established until just now. */
-  dial(isRedial: boolean): void {
+  /** `isReconnect` is true if the previous connection was established, and false after a failed attempt. */
+  connect(isReconnect: boolean): void {
     const socket = net.connect(splitAddress(this.address));
     this.socket = socket;
     socket.setNoDelay(true);
@@ -74,20 +74,20 @@
     });
     socket.on("connect", () => {
       socket.setTimeout(0);
-      socket.write(encodeFrame(this.greeting));
+      socket.write(encodeFrame(this.helloPayload));
       this.isEstablished = true;
     });
-    // Peers don't send on links that they accepted; unread bytes would keep the end of the link from being seen.
+    // Peers don't send on links that they accepted, but unread bytes would hide the end of the stream.
     socket.on("data", () => undefined);
     socket.on("error", (error: NodeJS.ErrnoException) => {
-      if (isRedial && error.code === "ECONNREFUSED") this.onRefused();
+      if (isReconnect && error.code === "ECONNREFUSED") this.onConnectionRefused();
     });
-    socket.on("close", () => this.redial());
+    socket.on("close", () => this.scheduleReconnect());
   }
 
   send(payload: Buffer): boolean {
     if (!this.socket || !this.isEstablished) return false;
-    // Dropped, not queued: a vote or a grant that comes late is worth nothing.
+    // The message is dropped, not queued, because a late vote or grant is useless.
     if (payload.length > MAX_PAYLOAD_BYTES || this.socket.writableLength > MAX_UNSENT_BYTES) return false;
     this.socket.write(encodeFrame(payload));
     return true;
@@ -96,32 +96,32 @@
   close(): void {
     this.isClosed = true;
     this.isEstablished = false;
-    this.redialTimer?.cancel();
+    this.reconnectTimer?.cancel();
     this.socket?.destroy();
   }
 
-  private redial(): void {
+  private scheduleReconnect(): void {
     if (this.isClosed) return;
     const wasEstablished = this.isEstablished;
     this.isEstablished = false;
-    this.redialTimer = this.clock.after(wasEstablished ? REDIAL_MS : RETRY_MS, () =>
-      this.dial(wasEstablished),
+    this.reconnectTimer = this.clock.after(wasEstablished ? RECONNECT_DELAY_MS : CONNECT_RETRY_DELAY_MS, () =>
+      this.connect(wasEstablished),
     );
   }
 }
 
-/** Owns the listening socket and the outgoing links; an incoming link closes with its peer's process. */
-export class PeerLinks implements PeerPort {
+/** Owns the listening socket and the outgoing links. Incoming links end with the peer's process or at a bad frame. */
+export class PeerLinks implements PeerSender {
   private readonly outgoing = new Map<string, OutgoingLink>();
   private server: net.Server | null = null;
 
   constructor(private readonly options: PeerLinkOptions) {}
 
-  /** Dials all peers and resolves once incoming links are accepted; rejects when the address can't be listened on. */
+  /** Connects to all peers. Resolves once incoming links are accepted; rejects if the address can't be listened on. */
   start(): Promise<void> {
     const server = net.createServer((socket) => this.accept(socket));
     this.server = server;
-    for (const peer of this.options.peers) this.dial(peer);
+    for (const peer of this.options.peers) this.connect(peer);
     return new Promise((resolve, reject) => {
       server.once("error", reject);
       server.listen(splitAddress(this.options.listen), () => {
@@ -141,14 +141,16 @@
     this.server?.close();
   }
 
-  private dial({ name, address }: Peer): void {
-    const { clock, greeting, onRefused } = this.options;
-    const link = new OutgoingLink(address, clock, greeting, () => onRefused(name, this.establishedLinks()));
+  private connect({ name, address }: Peer): void {
+    const { clock, helloPayload, onConnectionRefused } = this.options;
+    const link = new OutgoingLink(address, clock, helloPayload, () =>
+      onConnectionRefused(name, this.countEstablishedLinks()),
+    );
     this.outgoing.set(name, link);
-    link.dial(false);
+    link.connect(false);
   }
 
-  private establishedLinks(): number {
+  private countEstablishedLinks(): number {
     let count = 0;
     for (const link of this.outgoing.values()) if (link.isEstablished) count++;
     return count;
@@ -156,34 +158,36 @@
 
   private accept(socket: net.Socket): void {
     const decoder = new FrameDecoder();
-    const receiver = this.options.onLink();
+    const handler = this.options.onIncomingLink();
     socket.setNoDelay(true);
     socket.on("error", () => undefined);
-    socket.on("data", (part: Buffer) => {
-      const reason = this.receive(part, decoder, receiver);
+    socket.on("data", (chunk: Buffer) => {
+      const reason = this.receive(chunk, decoder, handler);
       if (reason === null) return;
-      this.options.onBadLink(`link from ${socket.remoteAddress ?? "somewhere"} closed: ${reason}`);
+      this.options.onLinkRejected(
+        `link from ${socket.remoteAddress ?? "an unknown address"} closed: ${reason}`,
+      );
       socket.destroy();
     });
   }
 
-  /** Null, or the reason to close the link; frames behind the one at fault are dropped. */
-  private receive(part: Buffer, decoder: FrameDecoder, receiver: LinkReceiver): string | null {
-    const payloads = decoder.push(part);
-    if (!payloads) return "a frame longer than any of ours";
+  /** Returns null, or the reason why the link must be closed; frames after the one at fault are dropped. */
+  private receive(chunk: Buffer, decoder: FrameDecoder, handler: FrameHandler): string | null {
+    const payloads = decoder.push(chunk);
+    if (!payloads) return "frame exceeds the maximum length";
     for (const payload of payloads) {
-      const reason = this.receivePayload(payload, receiver);
+      const reason = this.receivePayload(payload, handler);
       if (reason !== null) return reason;
     }
     return null;
   }
 
-  private receivePayload(payload: Buffer, receiver: LinkReceiver): string | null {
+  private receivePayload(payload: Buffer, handler: FrameHandler): string | null {
     try {
-      return receiver(payload);
+      return handler(payload);
     } catch (error) {
       this.options.onError(error as Error);
-      return "a frame that could not be dealt with";
+      return "the frame handler failed";
     }
   }
 }
--- a/test/elector.test.ts
+++ b/test/elector.test.ts
@@ -49,7 +49,7 @@
       send: (peer, message) => {
         this.sent.push(`${name}>${peer} ${message.kind}`);
         this.clock.after(1, () =>
-          this.electors.get(peer)?.tell({ kind: "peer", message: message as ElectionPeerMessage }),
+          this.electors.get(peer)?.post({ kind: "peer", message: message as ElectionPeerMessage }),
         );
       },
       random: FIXED_RANDOM,
@@ -133,7 +133,7 @@
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     election.crash("n0");
     election.changes.delete("n0");
-    election.elector("n1").tell({ kind: "peer refused", peer: "n0", othersReachable: true });
+    election.elector("n1").post({ kind: "peer refused", peer: "n0", othersReachable: true });
     await election.run(300);
     assert.equal(election.lease("n1")?.term, 2);
   });
@@ -170,10 +170,10 @@
 
   test("resigns on a later term and ignores a `deposed` message of another term", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
-    election.elector("n0").tell({ kind: "deposed", term: 7 });
+    election.elector("n0").post({ kind: "deposed", term: 7 });
     await election.run(1);
     assert.equal(election.lease("n0")?.term, 1, "the message names another term");
-    election.elector("n0").tell({
+    election.elector("n0").post({
       kind: "peer",
       message: { kind: "term announcement", from: "n1", term: 2 },
     });
@@ -183,7 +183,7 @@
 
   test("that is overloaded steps down and leaves the next term to others", async () => {
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
-    election.elector("n0").tell({ kind: "lagging", term: 1 });
+    election.elector("n0").post({ kind: "lagging", term: 1 });
     await election.run(5000);
     assert.ok(!election.leaders.includes("n0"));
     assert.equal(election.leaders.length, 1);
@@ -191,7 +191,7 @@
 
   test("that has stepped down leads again after 20 s when there is no other leader", async () => {
     const election = await electionLedByFirst(["n0"]);
-    election.elector("n0").tell({ kind: "lagging", term: 1 });
+    election.elector("n0").post({ kind: "lagging", term: 1 });
     await election.run(19_900);
     assert.deepEqual(election.leaders, []);
     await election.run(1000);
@@ -202,7 +202,7 @@
     const election = await electionLedByFirst(["n0", "n1", "n2"]);
     const versionOf = (): number => election.stateStore.entries.get("lead/hold")!.version;
     const versions = new Set<number>();
-    election.elector("n0").tell({ kind: "peer refused", peer: "n1", othersReachable: false });
+    election.elector("n0").post({ kind: "peer refused", peer: "n1", othersReachable: false });
     for (let step = 0; step < 600; step++) {
       await election.run(10);
       versions.add(versionOf());
--- a/test/fakes/leaderTermFixture.ts
+++ b/test/fakes/leaderTermFixture.ts
@@ -128,5 +128,13 @@
 /** Returns the task status that a worker reports for an attempt; by default, the task is running. */
 export function taskStatusOf(attempt: Attempt, change: Partial<TaskStatus> = {}): TaskStatus {
   const { job, task, number } = attempt;
-  return { jobId: job.id, task, attempt: number, phase: "running", cause: null, saved: false, ...change };
+  return {
+    jobId: job.id,
+    task,
+    attempt: number,
+    phase: "running",
+    cause: null,
+    checkpointSaved: false,
+    ...change,
+  };
 }
--- a/test/fakes/peerMessages.ts
+++ b/test/fakes/peerMessages.ts
@@ -14,8 +14,15 @@
   fencingToken: 2 ** 45,
   interruptionNoticeS: 7.25,
   tasks: [
-    { jobId: "job-1", task: 99_999, attempt: 2 ** 50, phase: "exited", cause: "stopped", saved: true },
-    { jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, saved: false },
+    {
+      jobId: "job-1",
+      task: 99_999,
+      attempt: 2 ** 50,
+      phase: "exited",
+      cause: "stopped",
+      checkpointSaved: true,
+    },
+    { jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, checkpointSaved: false },
   ],
 };
 
@@ -37,7 +44,7 @@
       attempt: 7,
       phase,
       cause: null,
-      saved: false,
+      checkpointSaved: false,
     })),
     ...(
       ["done", "stopped", "peers", "incomplete", "error", "no_room", "in_use", "unknown", "other"] as const
@@ -47,7 +54,7 @@
       attempt: 8,
       phase: "exited",
       cause,
-      saved: false,
+      checkpointSaved: false,
     })),
   ],
 };
@@ -70,7 +77,7 @@
     lastGrantIssuedAtMs: 90_000,
     lastResyncIssuedAtMs: 11,
     requestedAtMs: 4000,
-    machines: 70,
+    workerCount: 70,
     lagMs: 12,
     unchanged: [{ machine: "host-1", epoch: 1, tick: 9 }],
     heartbeats: [{ ageMs: 7, heartbeat: largeHeartbeat }],
@@ -87,7 +94,7 @@
     lastGrantIssuedAtMs: 0,
     lastResyncIssuedAtMs: 0,
     requestedAtMs: 5,
-    machines: 0,
+    workerCount: 0,
     lagMs: 0,
     unchanged: [],
     heartbeats: [],
@@ -108,7 +115,7 @@
     resync: false,
     cancellationSeq: 4,
     quarantined: ["host-3"],
-    servers: [{ node: "n2", machines: 70, lagMs: 12 }],
+    servers: [{ node: "n2", workerCount: 70, lagMs: 12 }],
   },
   "grant: resync": {
     kind: "grant",
--- a/test/heartbeatServer.test.ts
+++ b/test/heartbeatServer.test.ts
@@ -15,7 +15,7 @@
     tick: 9,
     fencingToken: 5,
     interruptionNoticeS: null,
-    tasks: [{ jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, saved: false }],
+    tasks: [{ jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, checkpointSaved: false }],
   };
   const arrivals: [name: string, known: { epoch: number; tick: number }, isStale: boolean][] = [
     ["the next one", { epoch: 2, tick: 8 }, false],
--- a/test/heartbeatServerRegistry.test.ts
+++ b/test/heartbeatServerRegistry.test.ts
@@ -16,7 +16,7 @@
   lastGrantIssuedAtMs: 0,
   lastResyncIssuedAtMs: 0,
   requestedAtMs: 70,
-  machines: 3,
+  workerCount: 3,
   lagMs: 0,
   unchanged: [],
   heartbeats: [],
@@ -30,7 +30,7 @@
   overrides: Pick<GrantConditions, "nowMs" | "acknowledgeUntilMs"> & Partial<GrantConditions>,
 ): GrantConditions {
   return {
-    leaderLoad: { node: "n0", machines: 1, lagMs: 0 },
+    leaderLoad: { node: "n0", workerCount: 1, lagMs: 0 },
     stateStoreReachable: true,
     zoneDurationMs: 0,
     quarantined: [],
--- a/test/heartbeatUpdates.test.ts
+++ b/test/heartbeatUpdates.test.ts
@@ -8,7 +8,14 @@
 const TERM = 4;
 
 function worker(machine: string, taskCount = 0, receivedMs = 1000): ServedWorker {
-  const task: TaskStatus = { jobId: "j", task: 0, attempt: 1, phase: "running", cause: null, saved: false };
+  const task: TaskStatus = {
+    jobId: "j",
+    task: 0,
+    attempt: 1,
+    phase: "running",
+    cause: null,
+    checkpointSaved: false,
+  };
   const heartbeat: Heartbeat = {
     machine,
     address: "10.1.0.1:9000",
@@ -43,7 +50,7 @@
       lastGrantIssuedAtMs: 900,
       lastResyncIssuedAtMs: 0,
       requestedAtMs: 1000,
-      machines: 3,
+      workerCount: 3,
       lagMs: 2,
       unchanged: [],
       heartbeats: [],
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -7,7 +7,7 @@
 
 type Ending = "end" | "reset";
 
-/** Sends these bytes, then half-closes or resets the connection, and resolves with the response's first line. */
+/** Sends the bytes, half-closes or resets the connection, and resolves with the first line of the response. */
 function sendRaw(port: number, bytes: string, ending: Ending): Promise<string> {
   return new Promise((resolve) => {
     let received = "";
@@ -16,7 +16,7 @@
       if (ending === "reset") setImmediate(() => socket.resetAndDestroy());
       else socket.end();
     });
-    socket.on("data", (part: Buffer) => (received += part.toString()));
+    socket.on("data", (chunk: Buffer) => (received += chunk.toString()));
     socket.on("error", () => undefined);
     socket.on("close", () => resolve(received.split("\r\n")[0] ?? ""));
   });
@@ -29,21 +29,21 @@
   return `POST ${path} HTTP/1.1\r\n${HEADERS}\r\nContent-Length: ${contentLength}\r\n\r\n${body}`;
 }
 
-/** A body whose length no header announces. */
+/** Returns a request with a chunked body, whose length no header announces. */
 function postChunked(body: string): string {
   const chunk = `${body.length.toString(16)}\r\n${body}\r\n`;
   return `POST / HTTP/1.1\r\n${HEADERS}\r\nTransfer-Encoding: chunked\r\n\r\n${chunk}0\r\n\r\n`;
 }
 
-test("whatever arrives on a connection gets a response, and the server goes on", async () => {
+test("the server responds to valid and invalid requests, and goes on to serve later ones", async () => {
   const server = await startHttpServer({
     listen: "127.0.0.1:0",
     maxBodyBytes: MAX_BODY_BYTES,
     maxConnections: 50,
     handler: (request, reply) => {
-      if (request.path === "/throw") throw new Error("on purpose");
+      if (request.path === "/throw") throw new Error("thrown by the test handler");
       reply({ status: 200, body: { length: request.body.length } });
-      reply({ status: 500, body: "a second response does nothing" });
+      reply({ status: 500, body: "a second response is ignored" });
     },
     onError: () => undefined,
   });
@@ -52,24 +52,29 @@
   const cases: { name: string; bytes: string; ending?: Ending; firstLine: RegExp }[] = [
     { name: "a request", bytes: post("/", 3, "abc"), firstLine: /^HTTP\/1\.1 200/ },
     {
-      name: "a body over the limit, announced",
+      name: "a body over the limit, with its length in a header",
       bytes: post("/", oversized.length, oversized),
       firstLine: /^HTTP\/1\.1 413/,
     },
     {
-      name: "a body over the limit, not announced",
+      name: "a chunked body over the limit",
       bytes: postChunked("x".repeat(2 * MAX_BODY_BYTES)),
       firstLine: /^HTTP\/1\.1 413/,
     },
-    { name: "no HTTP at all", bytes: "hello there\r\n\r\n", firstLine: /^HTTP\/1\.1 400/ },
+    { name: "data that is not HTTP", bytes: "hello there\r\n\r\n", firstLine: /^HTTP\/1\.1 400/ },
     {
-      name: "half a request, then the end",
+      name: "an incomplete request, then the end of the stream",
       bytes: post("/", 50, "abc"),
       firstLine: /^(HTTP\/1\.1 400.*)?$/,
     },
-    { name: "half a request, then a reset", bytes: post("/", 50, "abc"), ending: "reset", firstLine: /^$/ },
+    {
+      name: "an incomplete request, then a reset",
+      bytes: post("/", 50, "abc"),
+      ending: "reset",
+      firstLine: /^$/,
+    },
     { name: "a handler that throws", bytes: post("/throw", 0, ""), firstLine: /^HTTP\/1\.1 500/ },
-    { name: "a request after all that", bytes: post("/", 0, ""), firstLine: /^HTTP\/1\.1 200/ },
+    { name: "a request after the invalid ones", bytes: post("/", 0, ""), firstLine: /^HTTP\/1\.1 200/ },
   ];
   for (const { name, bytes, ending = "end", firstLine } of cases) {
     assert.match(await sendRaw(port, bytes, ending), firstLine, name);
@@ -90,7 +95,7 @@
   };
 }
 
-test("the client resolves with any whole response, and says otherwise whether the request may have been sent", async () => {
+test("the client resolves with any complete response, and otherwise reports whether the request may have been sent", async () => {
   const server = await startBareServer((request, response) => {
     if (request.url === "/echo") request.pipe(response.writeHead(404));
     else if (request.url === "/empty") response.end();
--- a/test/peerFrames.test.ts
+++ b/test/peerFrames.test.ts
@@ -4,8 +4,8 @@
 import { peerMessages } from "./fakes/peerMessages.js";
 
 /**
- * Frames as version 4 of the peer protocol writes them, in hex. Controllers of the same protocol version must read each
- * other's frames: a change here needs a new `PEER_VERSION`.
+ * The frames of version 4 of the peer protocol, in hex. Controllers of the same protocol version must be able to decode
+ * each other's frames, so a change here requires a new `PEER_PROTOCOL_VERSION`.
  */
 const GOLDEN_FRAMES: Record<string, string[]> = {
   hello: ["0000026e33000a6c696368656e7475726e000000000002"],
@@ -57,14 +57,14 @@
   isolated: ["0a00026e3400000000000a"],
 };
 
-test("each message is encoded as the golden frame of its name", () => {
+test("each message is encoded as the golden frame with its name", () => {
   assert.deepEqual(Object.keys(GOLDEN_FRAMES), Object.keys(peerMessages));
   for (const [name, message] of Object.entries(peerMessages)) {
     assert.equal(encodePeerMessage(message).toString("hex"), GOLDEN_FRAMES[name]!.join(""), name);
   }
 });
 
-test("each golden frame is decoded to the message of its name", () => {
+test("each golden frame is decoded as the message with its name", () => {
   for (const [name, hex] of Object.entries(GOLDEN_FRAMES)) {
     assert.deepEqual(decodePeerMessage(Buffer.from(hex.join(""), "hex")), peerMessages[name], name);
   }
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -12,40 +12,48 @@
   return encodePeerMessage({ kind: "hello", from, version });
 }
 
-test("a link whose frames are not in order is closed, with the reason, and changes nothing", async () => {
+test("a link with an invalid frame is closed with the reason, and the frame has no effect", async () => {
   const world = new World(31, { controllerCount: 5 });
   await world.run(5);
   const leader = world.leader!;
   const follower = world.controllers.names.find((name) => name !== leader)!;
   const other = world.controllers.names.find((name) => name !== leader && name !== follower)!;
-  // Were it taken, the follower would take its sender for the leader of a term far ahead.
-  const usurpation: PeerMessage = { kind: "term announcement", from: other, term: 900 };
-  const usurp = encodePeerMessage(usurpation);
+  // If the follower accepted this announcement, it would treat the sender as the leader of a much later term.
+  const announcement: PeerMessage = { kind: "term announcement", from: other, term: 900 };
+  const announcementFrame = encodePeerMessage(announcement);
   const cases: { name: string; frames: Buffer[]; reason: RegExp }[] = [
-    { name: "rubbish", frames: [Buffer.from("GET / HTTP/1.1")], reason: /not a frame/ },
-    { name: "no greeting", frames: [usurp], reason: /no greeting/ },
+    { name: "data that is not a frame", frames: [Buffer.from("GET / HTTP/1.1")], reason: /not a frame/ },
+    { name: "no hello message", frames: [announcementFrame], reason: /no greeting/ },
     {
-      name: "another version",
-      frames: [hello(other, PEER_PROTOCOL_VERSION + 1), usurp],
+      name: "another protocol version",
+      frames: [hello(other, PEER_PROTOCOL_VERSION + 1), announcementFrame],
       reason: /speaks version/,
     },
-    { name: "nobody we know", frames: [hello("mallory")], reason: /no peer/ },
-    { name: "in another's name", frames: [hello(leader), usurp], reason: /speaks for/ },
-    { name: "cut short", frames: [hello(other), usurp.subarray(0, 8)], reason: /not a frame/ },
+    { name: "an unknown sender", frames: [hello("mallory")], reason: /no peer/ },
     {
-      name: "bytes after the end",
-      frames: [hello(other), Buffer.concat([usurp, Buffer.alloc(1)])],
+      name: "a message in another controller's name",
+      frames: [hello(leader), announcementFrame],
+      reason: /speaks for/,
+    },
+    {
+      name: "a truncated message",
+      frames: [hello(other), announcementFrame.subarray(0, 8)],
+      reason: /not a frame/,
+    },
+    {
+      name: "bytes after the end of the message",
+      frames: [hello(other), Buffer.concat([announcementFrame, Buffer.alloc(1)])],
       reason: /not a frame/,
     },
   ];
   for (const { name, frames, reason } of cases) {
     const receive = world.controllers.openPeerLink(follower);
-    let closedFor: string | null = null;
-    for (const frame of frames) closedFor ??= receive(frame);
-    assert.match(closedFor ?? "taken", reason, name);
+    let closeReason: string | null = null;
+    for (const frame of frames) closeReason ??= receive(frame);
+    assert.match(closeReason ?? "accepted", reason, name);
   }
   await world.run(10);
-  assert.equal(world.leader, leader, "the same leader in the same term");
+  assert.equal(world.leader, leader, "the leader must not change");
   const term = world.stateStore.entries.get("lead/term")?.value as { n: number };
   assert.equal(term.n, 1);
 });
@@ -55,27 +63,27 @@
     listen: "127.0.0.1:0",
     peers: [],
     clock: systemClock,
-    greeting: Buffer.from("hi"),
-    onLink: () => () => null,
-    onRefused: () => undefined,
-    onBadLink: () => undefined,
+    helloPayload: Buffer.from("hi"),
+    onIncomingLink: () => () => null,
+    onConnectionRefused: () => undefined,
+    onLinkRejected: () => undefined,
     onError: () => undefined,
     ...options,
   });
 }
 
-test("over real sockets a foreign or oversized frame closes the link, and a good one arrives", async () => {
+test("over real sockets, an invalid or oversized frame closes the link, and a valid frame is received", async () => {
   const port = await freePort();
   const received: string[] = [];
   const badLinks: string[] = [];
   const links = peerLinks({
     listen: `127.0.0.1:${port}`,
-    onLink: () => (payload) => {
-      if (payload.toString() !== "good") return "foreign";
+    onIncomingLink: () => (payload) => {
+      if (payload.toString() !== "valid") return "invalid";
       received.push(payload.toString());
       return null;
     },
-    onBadLink: (reason) => badLinks.push(reason),
+    onLinkRejected: (reason) => badLinks.push(reason),
   });
   await links.start();
   const send = (bytes: Buffer): Promise<void> =>
@@ -84,15 +92,15 @@
       socket.on("error", () => undefined);
       socket.on("close", () => resolve());
     });
-  await send(encodeFrame(Buffer.from("good")));
-  await send(encodeFrame(Buffer.from("evil")));
+  await send(encodeFrame(Buffer.from("valid")));
+  await send(encodeFrame(Buffer.from("other")));
   await send(Buffer.from([0xff, 0xff, 0xff, 0xff, 1]));
   links.close();
-  assert.deepEqual(received, ["good"]);
+  assert.deepEqual(received, ["valid"]);
   assert.equal(badLinks.length, 2, badLinks.join("; "));
 });
 
-test("a lost link is dialled again at once, and a refusal then is reported with the number of links left", async () => {
+test("a lost link is reconnected immediately, and a refused reconnection is reported with the number of links left", async () => {
   const [first, second] = [await startPeer(), await startPeer()];
   const refused: { peer: string; establishedLinks: number }[] = [];
   const links = peerLinks({
@@ -100,24 +108,27 @@
       { name: "first", address: `127.0.0.1:${first.port}` },
       { name: "second", address: `127.0.0.1:${second.port}` },
     ],
-    onRefused: (peer, establishedLinks) => refused.push({ peer, establishedLinks }),
+    onConnectionRefused: (peer, establishedLinks) => refused.push({ peer, establishedLinks }),
   });
   await links.start();
   const expected = encodeFrame(Buffer.from("hi")).toString("hex");
-  await until(() => first.received() === expected && second.received() === expected, "greetings");
+  await waitUntil(
+    () => first.received() === expected && second.received() === expected,
+    "hello frame on both links",
+  );
   assert.equal(links.send("first", Buffer.from("vote")), true);
   assert.equal(links.send("nobody", Buffer.from("vote")), false);
-  await until(
+  await waitUntil(
     () => first.received() === expected + encodeFrame(Buffer.from("vote")).toString("hex"),
-    "a vote",
+    "vote on the first link",
   );
 
-  first.breakLinks();
-  await until(() => first.received().endsWith(expected), "the greeting of a new link");
+  first.closeLinks();
+  await waitUntil(() => first.received().endsWith(expected), "hello frame on a new link");
   assert.deepEqual(refused, []);
 
   first.stop();
-  await until(() => refused.length > 0, "a refusal");
+  await waitUntil(() => refused.length > 0, "report of a refused connection");
   assert.deepEqual(refused, [{ peer: "first", establishedLinks: 1 }]);
   assert.equal(links.send("first", Buffer.from("vote")), false);
   links.close();
@@ -126,9 +137,9 @@
 
 interface FakePeer {
   port: number;
-  /** All bytes received on any link, as hex. */
+  /** Returns all bytes that were received on any link, as hex. */
   received(): string;
-  breakLinks(): void;
+  closeLinks(): void;
   stop(): void;
 }
 
@@ -142,23 +153,23 @@
     socket.on("close", () => sockets.delete(socket));
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-  const breakLinks = (): void => sockets.forEach((socket) => socket.destroy());
+  const closeLinks = (): void => sockets.forEach((socket) => socket.destroy());
   return {
     port: (server.address() as net.AddressInfo).port,
     received: () => Buffer.concat(parts).toString("hex"),
-    breakLinks,
+    closeLinks,
     stop: () => {
       server.close();
-      breakLinks();
+      closeLinks();
     },
   };
 }
 
-async function until(isTrue: () => boolean, what: string): Promise<void> {
-  const PATIENCE_MS = 10_000;
-  const deadlineMs = performance.now() + PATIENCE_MS;
-  while (!isTrue()) {
-    assert.ok(performance.now() < deadlineMs, `no ${what} within ${PATIENCE_MS} ms`);
+async function waitUntil(condition: () => boolean, description: string): Promise<void> {
+  const TIMEOUT_MS = 10_000;
+  const deadlineMs = performance.now() + TIMEOUT_MS;
+  while (!condition()) {
+    assert.ok(performance.now() < deadlineMs, `no ${description} within ${TIMEOUT_MS} ms`);
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -16,7 +16,7 @@
 import { encodeFrame, FrameDecoder } from "../src/transport/frames.js";
 import { peerMessages } from "./fakes/peerMessages.js";
 
-/** As users write it. */
+/** A valid submission in the format in which users write it. */
 const submission = {
   ref: "job-000412",
   strain: "train",
@@ -46,18 +46,21 @@
   return (decoded as { spec: JobSpec }).spec;
 }
 
-test("a submission in the published form is valid, and is written as it was read", () => {
+test("a submission in the documented format is valid, and encoding the decoded job restores it", () => {
   const cases: { name: string; value: unknown }[] = [
-    { name: "as published", value: submission },
+    { name: "the documented format", value: submission },
     { name: "unknown fields are ignored", value: { ...submission, colour: "red" } },
-    { name: "null and missing are the same", value: { ...submission, breeds: undefined, dueS: undefined } },
-    { name: "as many tasks as may be", value: { ...submission, spores: 100_000 } },
+    {
+      name: "a missing optional field means the same as null",
+      value: { ...submission, breeds: undefined, dueS: undefined },
+    },
+    { name: "the maximum number of tasks", value: { ...submission, spores: 100_000 } },
   ];
   for (const { name, value } of cases) assert.equal(decodeSubmission(value).kind, "valid", name);
   assert.deepEqual(encodeSubmission(specOf(submission)), submission);
 });
 
-test("a submission that is no object is malformed", () => {
+test("a submission that is not a JSON object is malformed", () => {
   for (const value of [[submission], null, "job"]) {
     assert.equal(decodeSubmission(value).kind, "malformed", JSON.stringify(value));
   }
@@ -66,19 +69,19 @@
 test("a submission with a missing or malformed field is malformed, and the reason names the field", () => {
   const cases: { name: string; change: Record<string, unknown> }[] = [
     { name: "no id", change: { ref: undefined } },
-    { name: "an id of another form", change: { ref: "job-12a" } },
-    { name: "a path as id", change: { ref: "job-1/../2" } },
+    { name: "an id in another format", change: { ref: "job-12a" } },
+    { name: "a path as the id", change: { ref: "job-1/../2" } },
     { name: "no tasks", change: { spores: 0 } },
-    { name: "half a task", change: { spores: 1.5 } },
-    { name: "more tasks than may be", change: { spores: 100_001 } },
-    { name: "a number as text", change: { cores: "8" } },
+    { name: "a fractional number of tasks", change: { spores: 1.5 } },
+    { name: "more than the maximum number of tasks", change: { spores: 100_001 } },
+    { name: "a number as a string", change: { cores: "8" } },
     { name: "a negative amount", change: { memoryGb: -1 } },
-    { name: "an unknown form", change: { form: "toString" } },
-    { name: "an unknown rank", change: { rank: "urgent" } },
-    { name: "a flag as number", change: { together: 1 } },
-    { name: "types that are not names", change: { breeds: [1] } },
+    { name: "an unknown job kind", change: { form: "toString" } },
+    { name: "an unknown priority", change: { rank: "urgent" } },
+    { name: "a flag as a number", change: { together: 1 } },
+    { name: "machine types that are not strings", change: { breeds: [1] } },
     { name: "a negative deadline", change: { dueS: -5 } },
-    { name: "several at once", change: { dueS: -5, crew: "" } },
+    { name: "several malformed fields", change: { dueS: -5, crew: "" } },
   ];
   const fieldOrder = Object.keys(submission);
   for (const { name, change } of cases) {
@@ -107,19 +110,23 @@
   const cases: [string, object, boolean][] = [
     ["fits exactly", {}, false],
     ["unknown team", { team: "x" }, true],
-    ["too large for any type", { cpus: 97 }, true],
-    ["only types that there aren't", { types: ["zz"] }, true],
-    ["only a zone that there isn't", { zone: "q" }, true],
-    ["a gang above the limit", { tasks: 17 }, true],
-    ["an array counts one task", { tasks: 17, kind: "array" }, false],
-    ["a service counts all tasks", { tasks: 17, kind: "service" }, true],
+    ["a task too large for any machine type", { cpus: 97 }, true],
+    ["only unknown machine types are allowed", { types: ["zz"] }, true],
+    ["only an unknown zone is allowed", { zone: "q" }, true],
+    ["a gang above the team's limit", { tasks: 17 }, true],
+    ["only one task of an array counts against the limit", { tasks: 17, kind: "array" }, false],
+    ["all tasks of a service count against the limit", { tasks: 17, kind: "service" }, true],
   ];
-  for (const [name, change, want] of cases) {
-    assert.equal(rejectionReason({ ...specOf(submission), ...change }, types, teams) !== null, want, name);
+  for (const [name, change, isRejected] of cases) {
+    assert.equal(
+      rejectionReason({ ...specOf(submission), ...change }, types, teams) !== null,
+      isRejected,
+      name,
+    );
   }
 });
 
-test("a method and a path lead to one call, or to 404 or 405", () => {
+test("a request is routed to one call by its method and path, or results in 404 or 405", () => {
   const cases = [
     ["POST", "/v1/jobs", "submit"],
     ["GET", "/v1/jobs", 405],
@@ -137,7 +144,7 @@
   }
 });
 
-test("one task that can't be read makes the whole heartbeat unreadable, so that none looks gone", () => {
+test("one malformed task makes the whole heartbeat malformed, so that no task seems to be gone", () => {
   const heartbeat = {
     tuft: "host-1",
     bloom: 1,
@@ -146,18 +153,18 @@
     spores: [{ spore: "job-1/3", sprout: 2, phase: "gathering" }],
   };
   assert.equal(decodeHeartbeat(heartbeat)?.tasks[0]?.phase, "waiting");
-  const unreadable = [
+  const malformedTasks = [
     [{ spore: "job-1", sprout: 2, phase: "running" }],
     [{ spore: "job-1/1", sprout: 2, phase: "asleep" }],
     [7],
     "x",
   ];
-  for (const spores of unreadable) {
+  for (const spores of malformedTasks) {
     assert.equal(decodeHeartbeat({ ...heartbeat, spores }), null, JSON.stringify(spores));
   }
 });
 
-test("commands go to a worker in its own words", () => {
+test("commands are encoded with the field names of the worker protocol", () => {
   const stop = { op: "stop", jobId: "job-1", task: 3, attempt: 2, graceS: 10 } as const;
   assert.deepEqual(encodeDirectCommands(5, 1, [stop]), {
     crook: 5,
@@ -166,30 +173,31 @@
   });
 });
 
-test("a peer message survives a stream cut anywhere, and nothing but whole messages is decoded", () => {
+test("peer messages are decoded from a stream that is split anywhere, and only complete messages are decoded", () => {
   const messages = Object.values(peerMessages);
   const stream = Buffer.concat(messages.map((message) => encodeFrame(encodePeerMessage(message))));
-  for (const step of [1, 3, 7, stream.length]) {
+  for (const chunkBytes of [1, 3, 7, stream.length]) {
     const decoder = new FrameDecoder();
     const decoded: (PeerMessage | null)[] = [];
-    for (let start = 0; start < stream.length; start += step) {
-      const payloads = decoder.push(stream.subarray(start, start + step)) ?? [];
+    for (let start = 0; start < stream.length; start += chunkBytes) {
+      const payloads = decoder.push(stream.subarray(start, start + chunkBytes)) ?? [];
       for (const payload of payloads) decoded.push(decodePeerMessage(payload));
     }
-    assert.deepEqual(decoded, messages, `in pieces of ${step}`);
+    assert.deepEqual(decoded, messages, `in chunks of ${chunkBytes} bytes`);
   }
   assert.equal(new FrameDecoder().push(Buffer.from("GET / HTTP/1.1\r\n")), null);
   for (const message of messages) {
-    const whole = encodePeerMessage(message);
-    for (let length = 0; length < whole.length; length++)
-      assert.equal(decodePeerMessage(whole.subarray(0, length)), null, message.kind);
-    const tooLong = Buffer.concat([whole, Buffer.from([0])]);
-    assert.equal(decodePeerMessage(tooLong), null, `${message.kind} with more behind it`);
+    const encoded = encodePeerMessage(message);
+    for (let length = 0; length < encoded.length; length++)
+      assert.equal(decodePeerMessage(encoded.subarray(0, length)), null, message.kind);
+    const tooLong = Buffer.concat([encoded, Buffer.from([0])]);
+    assert.equal(decodePeerMessage(tooLong), null, `${message.kind} with a trailing byte`);
   }
-  for (const bad of [Buffer.alloc(0), Buffer.from([99, 0, 0])]) assert.equal(decodePeerMessage(bad), null);
+  for (const invalid of [Buffer.alloc(0), Buffer.from([99, 0, 0])])
+    assert.equal(decodePeerMessage(invalid), null);
 });
 
-test("a full chunk of tasks fits the smallest value limit, and records come back as they were stored", () => {
+test("a full chunk of tasks fits the smallest value size limit, and stored records are decoded unchanged", () => {
   const done = new Uint8Array(TASKS_PER_CHUNK / 8);
   done[3] = 129;
   const attempts = Array.from({ length: TASKS_PER_CHUNK }, (_, i) => ({
@@ -209,10 +217,10 @@
   assert.deepEqual(decodeHead(JSON.parse(JSON.stringify(encodeHead(head)))), head);
   const live = { ...head, cancelledAt: null };
   assert.deepEqual(decodeHead(JSON.parse(JSON.stringify(encodeHead(live)))), live);
-  const older = { ...(encodeHead(live) as object), x: true };
+  const recordWithoutTime = { ...(encodeHead(live) as object), x: true };
   assert.deepEqual(
-    decodeHead(older),
+    decodeHead(recordWithoutTime),
     { ...head, cancelledAt: head.acceptedAt },
-    "without a time: the earliest",
+    "a record without a cancellation time is decoded with the acceptance time, the earliest possible one",
   );
 });
--- a/test/workerBalancer.test.ts
+++ b/test/workerBalancer.test.ts
@@ -5,7 +5,7 @@
 test("new workers are redirected early, known ones at a large imbalance, and all when this controller is slow", () => {
   const server = (node: string, machines: number, lagMs = 0): ServerChoiceInput["servers"][number] => ({
     node,
-    machines,
+    workerCount: machines,
     lagMs,
   });
   const even = [server("n0", 40), server("n1", 80), server("n2", 80)];
