--- a/test/fakes/peerMessages.ts
+++ b/test/fakes/peerMessages.ts
@@ -1,3 +1,4 @@
+/** Sample heartbeats and peer messages for tests of their encodings. */
 import type { Heartbeat, TaskStatus } from "../../src/protocol/model.js";
 import type { PeerMessage } from "../../src/protocol/peers/messages.js";
 
@@ -13,12 +14,19 @@
   fencingToken: 2 ** 45,
   interruptionNoticeS: 7.25,
   tasks: [
-    { jobId: "job-1", task: 99_999, attempt: 2 ** 50, phase: "exited", cause: "stopped", saved: true },
-    { jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, saved: false },
+    {
+      jobId: "job-1",
+      task: 99_999,
+      attempt: 2 ** 50,
+      phase: "exited",
+      cause: "stopped",
+      checkpointSaved: true,
+    },
+    { jobId: "job-1", task: 0, attempt: 1, phase: "running", cause: null, checkpointSaved: false },
   ],
 };
 
-/** A heartbeat with a task in each phase and with each exit cause, without a notice of interruption. */
+/** A heartbeat with tasks in every phase and with every exit cause, and without an interruption notice. */
 export const variedHeartbeat: Heartbeat = {
   machine: "host-2",
   address: "",
@@ -36,7 +44,7 @@
       attempt: 7,
       phase,
       cause: null,
-      saved: false,
+      checkpointSaved: false,
     })),
     ...(
       ["done", "stopped", "peers", "incomplete", "error", "no_room", "in_use", "unknown", "other"] as const
@@ -46,12 +54,12 @@
       attempt: 8,
       phase: "exited",
       cause,
-      saved: false,
+      checkpointSaved: false,
     })),
   ],
 };
 
-/** At least one message of each kind, by name; both values of each flag and each optional field. */
+/** At least one message of each kind, by name; they cover both values of each flag and each optional field. */
 export const peerMessages: Record<string, PeerMessage> = {
   hello: { kind: "hello", from: "n3", version: 2 },
   "extension request": { kind: "extension request", from: "n1", term: 7, requestId: 2 ** 40 },
@@ -69,7 +77,7 @@
     lastGrantIssuedAtMs: 90_000,
     lastResyncIssuedAtMs: 11,
     requestedAtMs: 4000,
-    machines: 70,
+    workerCount: 70,
     lagMs: 12,
     unchanged: [{ machine: "host-1", epoch: 1, tick: 9 }],
     heartbeats: [{ ageMs: 7, heartbeat: largeHeartbeat }],
@@ -86,7 +94,7 @@
     lastGrantIssuedAtMs: 0,
     lastResyncIssuedAtMs: 0,
     requestedAtMs: 5,
-    machines: 0,
+    workerCount: 0,
     lagMs: 0,
     unchanged: [],
     heartbeats: [],
@@ -107,7 +115,7 @@
     resync: false,
     cancellationSeq: 4,
     quarantined: ["host-3"],
-    servers: [{ node: "n2", machines: 70, lagMs: 12 }],
+    servers: [{ node: "n2", workerCount: 70, lagMs: 12 }],
   },
   "grant: resync": {
     kind: "grant",
