--- a/src/bookkeeping/liveJobCache.ts
+++ b/src/bookkeeping/liveJobCache.ts
@@ -42,7 +42,7 @@
     private readonly readIntervalMs: number,
   ) {}
 
-  /** Resolves to true once the cache reflects all commits before this call; false if the deadline is too short. */
+  /** Resolves to true once the cache reflects all commits before this call; false if no read succeeds in time. */
   refresh(deadlineMs: number): Promise<boolean> {
     return new Promise((resolve) => {
       this.waiting.push({ deadlineMs, resolve });
--- a/src/bookkeeping/workload.ts
+++ b/src/bookkeeping/workload.ts
@@ -135,7 +135,7 @@
 
   /** Whether the job is finished and has no attempts left, so that its final record may be written. */
   get canFinalize(): boolean {
-    // The last members of a gang may still hold resources and quota when its result is known.
+    // The last members of a gang may still hold resources and quota when its result is known, so the job waits for them.
     return this.attempts.size === 0 && (this.isCancelled || this.isComplete);
   }
 
--- a/src/coordination/commands/commandBatch.ts
+++ b/src/coordination/commands/commandBatch.ts
@@ -13,9 +13,10 @@
 const STOP_RETRY_INTERVAL_MS = 600;
 
 /**
- * Composes the commands to send to a machine now. The caller must send the batch, because this function records on the
- * machine and its attempts what is sent (`sentToken`, `sentEpoch`, `sentMs`, `lastStartToken`, `stop.isSent`). The proofs
- * that a task is gone depend on knowing every start command that may be in flight.
+ * Composes the commands to send to a machine now. To be called right before sending: any start or stop in the batch must be
+ * sent, because this function records on the machine and its attempts what is sent (`sentToken`, `sentEpoch`, `sentMs`,
+ * `lastStartToken`, `stop.isSent`, `stop.lastSentMs`). The proofs that a task is gone depend on knowing every start command
+ * that may be in flight.
  *
  * After a `reap` the worker has forgotten the attempt, and a copy of its start command still in flight would run it again
  * (rule `ran_twice`). A batch with a reap therefore carries a token above that of every start command sent before, so that
--- a/src/coordination/heartbeats/acknowledgementLimits.ts
+++ b/src/coordination/heartbeats/acknowledgementLimits.ts
@@ -52,7 +52,7 @@
       quarantined.push(machine.name);
       if (!this.quarantined.includes(machine.name))
         log.info(
-          `${machine.name}: quarantined until its lease expires, because a cancelled task was not confirmed stopped in time`,
+          `${machine.name}: quarantined so that its lease expires, because a cancelled task was not confirmed stopped in time`,
         );
     }
     this.quarantined = quarantined;
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -14,7 +14,7 @@
 export interface StateStoreHealth {
   /** When the latest request that the state store served was sent, in steady time; -Infinity if never. */
   readonly lastServedSentMs: number;
-  /** When the state store last refused a request, in steady time; -Infinity if never. */
+  /** When a request last failed or was refused as unavailable, in steady time; -Infinity if never. */
   readonly lastRefusedMs: number;
 }
 
--- a/src/coordination/leadership/checkTimer.ts
+++ b/src/coordination/leadership/checkTimer.ts
@@ -1,4 +1,4 @@
-/** The timer of the elector's leadership checks. */
+/** The timer of the elector's leadership checks, which renew its lease or read the leadership record. */
 import type { Clock, Timer } from "../../transport/clock.js";
 
 /** A delay with jitter, so that controllers that failed at the same time don't retry at the same time. */
--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -39,7 +39,7 @@
 export class Elector extends Actor<ElectorMessage> {
   /** The term that this controller leads, or null if it does not lead. */
   private ownTerm: OwnTerm | null = null;
-  /** Allows one request at a time to the state store: a read, a renewal, a campaign or ending another leader's lease. */
+  /** True while a read, a renewal, a campaign or the end of another leader's lease is in flight: one at a time. */
   private isRequestInFlight = false;
   private campaignPausedUntilMs = -Infinity;
   private readonly timer: CheckTimer;
--- a/src/coordination/leadership/electorMessages.ts
+++ b/src/coordination/leadership/electorMessages.ts
@@ -21,7 +21,7 @@
 export interface RenewalResult {
   kind: "renewal finished";
   term: number;
-  /** The lease was renewed, no longer exists, or was not renewed because the state store refused or did not answer. */
+  /** `ok`: the lease was renewed; `ended`: it no longer exists; `failed`: the state store refused or did not answer. */
   outcome: "ok" | "ended" | "failed";
   /** Steady time at which the request was sent. */
   sentMs: number;
--- a/src/coordination/leadership/leaderSuspicion.ts
+++ b/src/coordination/leadership/leaderSuspicion.ts
@@ -25,7 +25,10 @@
 export interface ConnectionRefusal {
   leader: string;
   term: number;
-  /** True if links to other controllers are open or there are no others. The refusal alone then confirms the failure. */
+  /**
+   * True if links to other controllers are open, so that this controller's own links are not at fault, or if there are no
+   * other controllers. The refusal alone then confirms the failure.
+   */
   othersReachable: boolean;
   /** Steady time of the refusal. */
   sinceMs: number;
--- a/src/coordination/leadership/leaseExtension.ts
+++ b/src/coordination/leadership/leaseExtension.ts
@@ -9,7 +9,10 @@
 
 /** Duration of an extension, counted from its request. */
 export const EXTENSION_MS = 2000;
-/** A controller confirms an extension only if its last request to the state store failed at most this long ago. */
+/**
+ * A controller confirms an extension only if the state store refused it at most this long ago, and has served none of its
+ * requests sent after that refusal.
+ */
 const REFUSED_WITHIN_MS = 1500;
 
 /** The state of a controller that decides on an extension request. All times are steady. */
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -77,7 +77,10 @@
     return true;
   }
 
-  /** Returns true, and calls `onDeposed`, if the worker has seen a later term's fencing token: another leader has taken over. */
+  /**
+   * Returns true, and calls `onDeposed`, if the worker has seen a later term's fencing token: another leader has taken
+   * over.
+   */
   detectLaterTerm(heartbeat: Heartbeat): boolean {
     const { term } = this.context.lease;
     if (heartbeat.fencingToken < firstFencingToken(term + 1)) return false;
--- a/src/coordination/machines/machineLeases.ts
+++ b/src/coordination/machines/machineLeases.ts
@@ -19,7 +19,7 @@
   /** True if the worker's lease has certainly expired, whichever controllers may have acknowledged its heartbeats. */
   hasExpired(machine: Machine, nowMs: number): boolean {
     const { earlierLeadershipExpiredFromMs } = this.lease;
-    // No leader of an earlier term can have renewed the lease after `earlierLeadersSilentFromMs`.
+    // No leader of an earlier term can have renewed the lease after `earlierLeadershipExpiredFromMs`.
     const lastAcknowledgedMs = Math.max(machine.lastAcknowledgedMs, earlierLeadershipExpiredFromMs);
     if (nowMs < leaseExpiredFromMs(lastAcknowledgedMs, this.leaseS)) return false;
     const facts = this.servers.acknowledgementFacts(machine.zone, earlierLeadershipExpiredFromMs);
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -11,7 +11,10 @@
 import type { TermLease } from "../term/termLease.js";
 import type { Cordon } from "./cordon.js";
 
-/** Time for which a job avoids a machine on which one of its tasks failed, found no room, or was still in use. */
+/**
+ * Time for which a job avoids a machine on which one of its tasks failed, found no room, or did not start because another
+ * attempt of the task had not exited (`in_use`).
+ */
 const AVOID_AFTER_ERROR_MS = 60_000;
 const AVOID_NO_ROOM_MS = 2000;
 const AVOID_IN_USE_MS = 3000;
--- a/src/coordination/scheduling/estimates.ts
+++ b/src/coordination/scheduling/estimates.ts
@@ -25,7 +25,9 @@
   /** The first GPU job recorded of each class. */
   private readonly gpuJobByClass = new Map<string, JobSpec>();
 
-  /** Recorded spot interruptions. Together, the initial values are a prior of one interruption per machine hour. */
+  /**
+   * Recorded spot interruptions. It starts at 1, as `spotMachineHours` does: a prior of one interruption per machine hour.
+   */
   private spotInterruptions = 1;
   /** Hours that spot machines have run, summed over all of them. */
   private spotMachineHours = 1;
--- a/src/coordination/scheduling/machineSnapshots.ts
+++ b/src/coordination/scheduling/machineSnapshots.ts
@@ -18,7 +18,7 @@
 /** Minimum remaining run time, also assumed for tasks that have exceeded their expected run time. */
 const MIN_REMAINING_S = 3;
 
-/** Machines of one type, zone and purchase option that were ordered from the cloud and are not up yet. */
+/** An order of machines of one type, zone and purchase option whose outcome the cloud has not reported yet. */
 export interface OpenOrder {
   type: string;
   zone: string;
--- a/src/coordination/scheduling/placementPlan.ts
+++ b/src/coordination/scheduling/placementPlan.ts
@@ -63,7 +63,7 @@
   maxPreemptors: number;
   /** Returns false if no running task may be stopped for the job. */
   canPreemptFor: (job: JobView) => boolean;
-  /** Returns true if the cloud recently refused every machine in the zone that the job could use. */
+  /** Returns true if the cloud recently refused every kind of machine in the zone that the job could use. */
   isCapacityRefused: (spec: JobSpec, zone: string) => boolean;
   /** Returns true if the running job is within its team's guaranteed quota. */
   isGuaranteed: (jobId: string) => boolean;
--- a/src/coordination/term/leadershipLease.ts
+++ b/src/coordination/term/leadershipLease.ts
@@ -28,8 +28,8 @@
 }
 
 /**
- * Returns the steady time until which a leader may rely on its leadership lease. The time counts from the sending of the
- * renewal, which is before the state store counts from, and allows for a state store whose clock runs faster.
+ * Returns the steady time until which a leader may rely on its leadership lease. The duration counts from when the renewal
+ * was sent, because the state store starts to count later, and is shortened, because its clock may run faster.
  */
 export function leadershipLeaseUntilMs(renewalSentMs: number, ttlMs: number): number {
   return renewalSentMs + shortenedByDrift(ttlMs) - LEADERSHIP_LEASE_MARGIN_MS;
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -230,7 +230,7 @@
   });
 
   const invalid: { name: string; overrides: Partial<Vote>; leadingTerm?: number }[] = [
-    { name: "an extension that is not granted", overrides: { isGranted: false } },
+    { name: "a vote that does not grant the extension", overrides: { isGranted: false } },
     { name: "a vote of a controller that is not a peer", overrides: { from: "n9" } },
     { name: "a vote for another request", overrides: { requestId: 99 } },
     { name: "a vote of another term", overrides: { term: TERM + 1 } },
@@ -274,7 +274,7 @@
     assert.equal(confirmation.earlierLeadershipExpiredFromMs, 200 + 3000 * 1.001 + 50);
   });
 
-  test("one extension, the drift of both clocks and a margin after it if leases are shorter than extensions", () => {
+  test("one extension, the drift of both clocks and a margin after that majority if leases are shorter than extensions", () => {
     const confirmation = new TermConfirmation(1, 500);
     assert.equal(confirmation.confirm("n0", 0), true);
     assert.equal(confirmation.earlierLeadershipExpiredFromMs, 2002 + 50);
--- a/test/failureDetection.test.ts
+++ b/test/failureDetection.test.ts
@@ -113,7 +113,7 @@
 });
 
 // Guards against faulty jobs that use up machines and delay other jobs until their users cancel them.
-test("jobs that fail everywhere get few tasks, cause no cordons or scale-out and do not delay other jobs", async () => {
+test("jobs that fail everywhere get few tasks and machines, cause no cordons and do not delay other jobs", async () => {
   const world = new World(41, { capacity: 10 });
   world.fleet.failsEverywhere = (ref) => ref.startsWith("job-6");
   await world.run(3);
--- a/test/records.test.ts
+++ b/test/records.test.ts
@@ -18,7 +18,7 @@
 } from "../src/bookkeeping/records.js";
 import type { JobSpec } from "../src/protocol/model.js";
 
-// The stored values are golden files: each version has to read the records of earlier and later versions.
+// The stored strings are golden values: each version has to read the records of earlier and later versions.
 
 const spec: JobSpec = {
   id: "job-1",
