--- a/src/coordination/admission/taskCountTable.ts
+++ b/src/coordination/admission/taskCountTable.ts
@@ -4,8 +4,8 @@
 const MAX_JOBS = 5000;
 
 /**
- * The latest task counts of live jobs. No message reports that a job has finished, so the table is bounded: the job that was
- * added first is evicted first.
+ * The latest task counts of live jobs. No message reports that a job has finished, and a job may finish without a query
+ * here, so the table is bounded: the job that was added first is evicted first.
  */
 export class TaskCountTable {
   private readonly counts = new Map<string, TaskCounts>();
@@ -20,7 +20,7 @@
     return this.counts.get(id) ?? { done: 0, running: 0 };
   }
 
-  /** Removes a finished job. */
+  /** Removes a job whose final record has been read. */
   delete(id: string): void {
     this.counts.delete(id);
   }
--- a/src/coordination/consolidation/consolidationSnapshot.ts
+++ b/src/coordination/consolidation/consolidationSnapshot.ts
@@ -10,7 +10,7 @@
 import { loadLevelOf, loadOf } from "./machineLoad.js";
 
 const MS_PER_S = 1000;
-/** Age of a machine's last heartbeat from which tasks that it lists may be gone. */
+/** Age of a machine's last heartbeat, in heartbeat intervals, from which tasks that it lists may be gone. */
 const MAX_HEARTBEAT_AGE_INTERVALS = 1.5;
 
 /** The state that a snapshot is built from. */
@@ -53,7 +53,10 @@
     return { machines, attempts: this.attempts };
   }
 
-  /** Whether a round may empty or relieve the machine. Most machines are well loaded and run just the planned tasks. */
+  /**
+   * Whether a round may empty or relieve the machine. Most machines are left out, because they are well loaded and run
+   * no more than the planned tasks.
+   */
   private isCandidate(machine: Machine, requestedLoad: number): boolean {
     return (
       loadLevelOf(requestedLoad, this.context.operator.highLoadShare) === "low" ||
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -7,7 +7,10 @@
 export interface OperatorSettings {
   /** Load from which a machine is highly loaded (the paper's inner ring); below half of it, it is lightly loaded. */
   highLoadShare: number;
-  /** Measured load above which a machine is overloaded and a task is moved off it. At least `highLoadShare`. */
+  /**
+   * Load of the tasks in a machine's newest heartbeat above which a task is moved off the machine, if that load also
+   * exceeds the load of the tasks planned on it. At least `highLoadShare`.
+   */
   overloadShare: number;
   /** Interval between two rounds of consolidation. */
   roundIntervalS: number;
--- a/src/transport/httpClient.ts
+++ b/src/transport/httpClient.ts
@@ -25,7 +25,7 @@
 
 /** Sends HTTP requests; `HttpClient` is the implementation over real sockets. */
 export interface HttpCaller {
-  /** Resolves with a response of any status; rejects with a `NoResponseError` if none is complete in time. */
+  /** Resolves with a response of any status; rejects with a `NoResponseError` if no complete JSON response arrives. */
   call(
     address: string,
     method: string,
--- a/src/transport/peerLinks.ts
+++ b/src/transport/peerLinks.ts
@@ -64,7 +64,7 @@
     private readonly onConnectionRefused: () => void,
   ) {}
 
-  /** `isReconnect` is true if the previous connection was established, and false after a failed attempt. */
+  /** `isReconnect` is true if an established connection was just lost; false initially and after a failed attempt. */
   connect(isReconnect: boolean): void {
     const socket = net.connect(splitAddress(this.address));
     this.socket = socket;
