--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -80,14 +80,14 @@
     options.net.listen(options.address, (request, respond) => respond(this.serve(request)));
   }
 
-  /** Answers every request with an error for `forMs`. */
-  startOutage(forMs: number): void {
-    this.outageUntilMs = this.nowMs() + forMs;
+  /** Answers every request with an error for `durationMs`. */
+  startOutage(durationMs: number): void {
+    this.outageUntilMs = this.nowMs() + durationMs;
   }
 
-  /** Applies the fault to the boot of all machines that are requested within `forMs`. */
-  injectBootFault(fault: BootFault, forMs: number): void {
-    this.bootFault = { ...fault, untilMs: this.nowMs() + forMs };
+  /** Applies the fault to the boot of all machines that are requested within `durationMs`. */
+  injectBootFault(fault: BootFault, durationMs: number): void {
+    this.bootFault = { ...fault, untilMs: this.nowMs() + durationMs };
   }
 
   /** Removes the machine without notice; an unknown id is ignored. */
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -117,7 +117,7 @@
 export class SimControllers {
   /** Time until which the controllers have no links to each other and frames that they send are lost. */
   peerLinksDownUntilMs = 0;
-  /** Called with the body of each heartbeat that a controller accepts for processing. */
+  /** Called with the body of each heartbeat that reaches a live controller process, before it is processed. */
   onHeartbeat: (body: unknown) => void = () => undefined;
   private readonly processes = new Map<string, ControllerProcess>();
   private incarnationCount = 0;
@@ -142,11 +142,13 @@
     return this.leader ?? this.names[0]!;
   }
 
+  /** Names of all controllers except the leader, including those that are down. */
   get followers(): string[] {
     const { leader } = this;
     return this.names.filter((name) => name !== leader);
   }
 
+  /** Names of the controllers whose process is alive, including frozen ones. */
   get running(): string[] {
     return this.names.filter((name) => this.processes.get(name)!.isAlive);
   }
@@ -156,25 +158,25 @@
   }
 
   /** Ends the controller's process and starts a new one after `restartMs`. */
-  crash(name: string, restartMs: number): void {
+  crash(name: string, restartDelayMs: number): void {
     const process = this.processes.get(name);
     if (!process?.isAlive) return;
     process.isAlive = false;
     process.controller.stop();
     this.options.net.close(controllerAddress(name));
     this.reportPeerRefused(name);
-    this.options.clock.after(restartMs, () => this.start(name));
+    this.options.clock.after(restartDelayMs, () => this.start(name));
   }
 
-  /** Suspends the process for `forMs` while its clock advances; it processes the input of that time afterwards. */
-  freeze(name: string, forMs: number): void {
+  /** Suspends the process for `durationMs` while its clock advances; it processes the input of that time afterwards. */
+  freeze(name: string, durationMs: number): void {
     const process = this.processes.get(name);
-    if (process?.isAlive) process.frozenUntilMs = this.options.clock.nowMs() + forMs;
+    if (process?.isAlive) process.frozenUntilMs = this.options.clock.nowMs() + durationMs;
   }
 
-  /** Drops the machine's heartbeats at every controller for `forMs`; commands still reach the machine. */
-  dropHeartbeats(machineId: string, forMs: number): void {
-    this.dropHeartbeatsUntilMs.set(machineId, this.options.clock.nowMs() + forMs);
+  /** Drops the machine's heartbeats at every controller for `durationMs`; commands still reach the machine. */
+  dropHeartbeats(machineId: string, durationMs: number): void {
+    this.dropHeartbeatsUntilMs.set(machineId, this.options.clock.nowMs() + durationMs);
   }
 
   /**
--- a/test/fakes/faults/machineFaults.ts
+++ b/test/fakes/faults/machineFaults.ts
@@ -1,143 +1,149 @@
-/** Faults of machines and their workers: lost, hung, failing, or in trouble as they boot. */
+/** Faults of machines and their workers: losses, hangs, dropped messages, failing tasks and boot faults. */
 import type { BootFault } from "../cloud.js";
 import type { World } from "../world.js";
-import { drawAmount, drawCount, type Amount, type Count } from "./amounts.js";
-import { pickAnyWorker, pickWorkers, type MachineSelection } from "./targets.js";
+import { sampleAmount, sampleCount, type Amount, type Count } from "./amounts.js";
+import { pickRandomWorker, pickWorkers, type MachineSelection } from "./targets.js";
 
-/** A fault of machines; the functions below describe each kind. */
+/** A fault of machines; the function that creates a kind of fault documents it. */
 export type MachineFault = { family: "machines" } & (
-  | { kind: "hang"; machines: MachineSelection; forMs: number }
-  | { kind: "any hang"; count: number; forMs: Amount }
+  | { kind: "hang"; machines: MachineSelection; durationMs: number }
+  | { kind: "random hangs"; count: number; durationMs: Amount }
   | { kind: "loss"; machines: MachineSelection }
-  | { kind: "any lost"; count: number }
-  | { kind: "heartbeats ignored"; machines: MachineSelection; forMs: number }
-  | { kind: "any heartbeats ignored"; count: Count; forMs: Amount }
-  | { kind: "busy machines miss commands"; forMs: number }
-  | { kind: "faulty"; count: Count; forMs: Amount }
-  | { kind: "faulty for ever"; count: number }
-  | { kind: "disturbed boots"; lostCount: Count; boots: BootFault; forMs: Amount }
+  | { kind: "random losses"; count: number }
+  | { kind: "dropped heartbeats"; machines: MachineSelection; durationMs: number }
+  | { kind: "dropped heartbeats of consecutive machines"; count: Count; durationMs: Amount }
+  | { kind: "dropped commands to busy machines"; durationMs: number }
+  | { kind: "faulty"; count: Count; durationMs: Amount }
+  | { kind: "permanently faulty"; count: number }
+  | { kind: "disrupted boots"; lostCount: Count; bootFault: BootFault; durationMs: Amount }
 );
 
-/** Workers do nothing for that time, then go on. */
-export function hangMachines(machines: MachineSelection, forMs: number): MachineFault {
-  return { family: "machines", kind: "hang", machines, forMs };
+/** Suspends the workers for `durationMs`; they process the input of that time afterwards. */
+export function hangMachines(machines: MachineSelection, durationMs: number): MachineFault {
+  return { family: "machines", kind: "hang", machines, durationMs };
 }
 
-/** So many times, a random worker hangs. */
-export function hangAnyMachines(count: number, forMs: Amount): MachineFault {
-  return { family: "machines", kind: "any hang", count, forMs };
+/** Suspends a randomly selected worker, `count` times; the same worker may be selected more than once. */
+export function hangRandomMachines(count: number, durationMs: Amount): MachineFault {
+  return { family: "machines", kind: "random hangs", count, durationMs };
 }
 
-/** Machines stop without notice. */
+/** Removes the machines without notice. */
 export function loseMachines(machines: MachineSelection): MachineFault {
   return { family: "machines", kind: "loss", machines };
 }
 
-/** So many times, a random machine stops without notice. */
-export function loseAnyMachines(count: number): MachineFault {
-  return { family: "machines", kind: "any lost", count };
+/** Removes `count` randomly selected machines without notice, one after the other. */
+export function loseRandomMachines(count: number): MachineFault {
+  return { family: "machines", kind: "random losses", count };
 }
 
-/** Heartbeats of these machines get no response from any controller, while commands reach them. */
-export function ignoreHeartbeats(machines: MachineSelection, forMs: number): MachineFault {
-  return { family: "machines", kind: "heartbeats ignored", machines, forMs };
+/** Drops the machines' heartbeats at every controller, so that they get no response; commands reach the machines. */
+export function dropHeartbeats(machines: MachineSelection, durationMs: number): MachineFault {
+  return { family: "machines", kind: "dropped heartbeats", machines, durationMs };
 }
 
-/** As `ignoreHeartbeats`, for so many machines in a row from a random one on. */
-export function ignoreAnyHeartbeats(count: Count, forMs: Amount): MachineFault {
-  return { family: "machines", kind: "any heartbeats ignored", count, forMs };
+/** Like `dropHeartbeats`, for `count` machines that are consecutive in order of boot, starting at a random one. */
+export function dropHeartbeatsOfConsecutiveMachines(count: Count, durationMs: Amount): MachineFault {
+  return { family: "machines", kind: "dropped heartbeats of consecutive machines", count, durationMs };
 }
 
-/** Commands don't reach the machines that have tasks; responses to their heartbeats do. */
-export function dropCommandsToBusyMachines(forMs: number): MachineFault {
-  return { family: "machines", kind: "busy machines miss commands", forMs };
+/** Drops commands sent directly to the machines that have tasks now; they still receive heartbeat responses. */
+export function dropCommandsToBusyMachines(durationMs: number): MachineFault {
+  return { family: "machines", kind: "dropped commands to busy machines", durationMs };
 }
 
-/** The first machines fail every task that they start, for that time. */
-export function makeMachinesFaulty(count: Count, forMs: Amount): MachineFault {
-  return { family: "machines", kind: "faulty", count, forMs };
+/** For `durationMs`, every task on the first `count` machines fails once its image is fetched. */
+export function makeMachinesFaulty(count: Count, durationMs: Amount): MachineFault {
+  return { family: "machines", kind: "faulty", count, durationMs };
 }
 
-/** The first machines fail every task that they start, from now on. */
-export function makeMachinesFaultyForEver(count: number): MachineFault {
-  return { family: "machines", kind: "faulty for ever", count };
+/** From now on, every task on the first `count` machines fails once its image is fetched. */
+export function makeMachinesPermanentlyFaulty(count: number): MachineFault {
+  return { family: "machines", kind: "permanently faulty", count };
 }
 
-/** Some machines are lost, and those that replace them are in trouble as they boot. */
-export function disturbBoots(lostCount: Count, boots: BootFault, forMs: Amount): MachineFault {
-  return { family: "machines", kind: "disturbed boots", lostCount, boots, forMs };
+/**
+ * Removes `lostCount` random machines and applies the boot fault to all machines requested within `durationMs`, among
+ * them their replacements. Extends the world's fault period accordingly.
+ */
+export function disruptBoots(lostCount: Count, bootFault: BootFault, durationMs: Amount): MachineFault {
+  return { family: "machines", kind: "disrupted boots", lostCount, bootFault, durationMs };
 }
 
-/** Brings the fault about now; a count is drawn before its time. */
+/**
+ * Injects the fault now. Random counts are drawn before random durations, and both before random targets, except that
+ * `hangRandomMachines` draws each worker before its duration.
+ */
 export function injectMachineFault(world: World, fault: MachineFault): void {
   const { cloud, fleet, random } = world;
   switch (fault.kind) {
     case "hang":
-      for (const worker of pickWorkers(world, fault.machines)) worker.hang(fault.forMs);
+      for (const worker of pickWorkers(world, fault.machines)) worker.hang(fault.durationMs);
       return;
-    case "any hang":
-      hangAny(world, fault.count, fault.forMs);
+    case "random hangs":
+      hangRandom(world, fault.count, fault.durationMs);
       return;
     case "loss":
       for (const { machine } of pickWorkers(world, fault.machines)) cloud.loseMachine(machine.id);
       return;
-    case "any lost":
-      loseAny(world, fault.count);
+    case "random losses":
+      loseRandom(world, fault.count);
       return;
-    case "heartbeats ignored":
-      ignoreHeartbeatsOf(world, fault.machines, fault.forMs);
+    case "dropped heartbeats":
+      dropHeartbeatsOf(world, fault.machines, fault.durationMs);
       return;
-    case "any heartbeats ignored": {
-      const count = drawCount(random, fault.count);
-      const forMs = drawAmount(random, fault.forMs);
-      ignoreHeartbeatsOf(world, { inARow: count }, forMs);
+    case "dropped heartbeats of consecutive machines": {
+      const count = sampleCount(random, fault.count);
+      const durationMs = sampleAmount(random, fault.durationMs);
+      dropHeartbeatsOf(world, { consecutive: count }, durationMs);
       return;
     }
-    case "busy machines miss commands":
-      dropCommandsToBusy(world, fault.forMs);
+    case "dropped commands to busy machines":
+      dropCommandsToBusy(world, fault.durationMs);
       return;
     case "faulty": {
-      const count = drawCount(random, fault.count);
+      const count = sampleCount(random, fault.count);
       const ids = makeFaulty(world, count);
-      world.clock.after(drawAmount(random, fault.forMs), () => {
+      world.clock.after(sampleAmount(random, fault.durationMs), () => {
         for (const id of ids) fleet.faultyMachines.delete(id);
       });
       return;
     }
-    case "faulty for ever":
+    case "permanently faulty":
       makeFaulty(world, fault.count);
       return;
-    case "disturbed boots": {
-      const lostCount = drawCount(random, fault.lostCount);
-      const forMs = drawAmount(random, fault.forMs);
-      world.extendFaultPeriod(forMs);
-      cloud.injectBootFault(fault.boots, forMs);
-      loseAny(world, lostCount);
+    case "disrupted boots": {
+      const lostCount = sampleCount(random, fault.lostCount);
+      const durationMs = sampleAmount(random, fault.durationMs);
+      world.extendFaultPeriod(durationMs);
+      cloud.injectBootFault(fault.bootFault, durationMs);
+      loseRandom(world, lostCount);
     }
   }
 }
 
-function loseAny(world: World, count: number): void {
-  for (let i = 0; i < count; i++) world.cloud.loseMachine(pickAnyWorker(world)?.machine.id ?? "");
+function loseRandom(world: World, count: number): void {
+  for (let i = 0; i < count; i++) world.cloud.loseMachine(pickRandomWorker(world)?.machine.id ?? "");
 }
 
-function hangAny(world: World, count: number, forMs: Amount): void {
-  for (let i = 0; i < count; i++) pickAnyWorker(world)?.hang(drawAmount(world.random, forMs));
+function hangRandom(world: World, count: number, durationMs: Amount): void {
+  for (let i = 0; i < count; i++) pickRandomWorker(world)?.hang(sampleAmount(world.random, durationMs));
 }
 
-function ignoreHeartbeatsOf(world: World, machines: MachineSelection, forMs: number): void {
+function dropHeartbeatsOf(world: World, machines: MachineSelection, durationMs: number): void {
   for (const { machine } of pickWorkers(world, machines)) {
-    world.controllers.dropHeartbeats(machine.id, forMs);
+    world.controllers.dropHeartbeats(machine.id, durationMs);
   }
 }
 
-function dropCommandsToBusy(world: World, forMs: number): void {
+function dropCommandsToBusy(world: World, durationMs: number): void {
   for (const worker of world.fleet.workers.values()) {
-    if (worker.tasks.size > 0) worker.dropCommands(forMs);
+    if (worker.tasks.size > 0) worker.dropCommands(durationMs);
   }
 }
 
-/** Ids of the machines that are faulty from now on. */
+/** Makes the first `count` machines faulty and returns their ids. */
 function makeFaulty(world: World, count: number): string[] {
   const ids = pickWorkers(world, { first: count }).map(({ machine }) => machine.id);
   for (const id of ids) world.fleet.faultyMachines.add(id);
--- a/test/fakes/faults/networkFaults.ts
+++ b/test/fakes/faults/networkFaults.ts
@@ -1,12 +1,12 @@
-/** Faults of the network: partitions, which hold packets and deliver them at their end, and slow links. */
+/** Faults of the network: partitions, which hold packets and deliver them when the partition ends, and slow links. */
 import type { HostFilter } from "../net.js";
 import { controllerAddress } from "../region.js";
 import type { World } from "../world.js";
-import { drawAmount, drawCount, type Amount, type Count } from "./amounts.js";
+import { sampleAmount, sampleCount, type Amount, type Count } from "./amounts.js";
 import {
-  controllerHosts,
+  controllerAddresses,
   hostFilter,
-  oneOf,
+  addressFilter,
   pickController,
   pickWorkers,
   type ControllerTarget,
@@ -14,72 +14,83 @@
   type MachineSelection,
 } from "./targets.js";
 
-/** A fault of the network; the functions below describe each kind. */
+/** A fault of the network; the function that creates a kind of fault documents it. */
 export type NetworkFault = { family: "network" } & (
-  | { kind: "controller isolated"; target: ControllerTarget; from: HostGroups; forMs: Amount }
-  | { kind: "zone isolated"; zone: ZoneSide; from: HostGroups; forMs: Amount }
-  | { kind: "machines isolated"; machines: MachineSelection; isOutgoingOnly: boolean; forMs: number }
-  | { kind: "machines unreachable"; count: Count; forMs: Amount }
-  | { kind: "slow links"; extraDelayMs: number }
+  | { kind: "controller isolated"; target: ControllerTarget; from: HostGroups; durationMs: Amount }
+  | { kind: "zone isolated"; zone: ZoneSide; from: HostGroups; durationMs: Amount }
+  | { kind: "machines isolated"; machines: MachineSelection; isOutgoingOnly: boolean; durationMs: number }
+  | { kind: "machines unreachable"; count: Count; durationMs: Amount }
+  | { kind: "slow links"; maxExtraDelayMs: number }
 );
 
-/** Zone b's machines and the controllers on their side of a partition. */
+/** The side of a partition that consists of zone b's machines and some controllers. */
 export interface ZoneSide {
-  with: ControllerTarget[];
-  /** Machines that boot later are on the zone's side, too; otherwise only those that are up already. */
-  hasLaterMachines: boolean;
+  /** Controllers that remain connected to the zone's machines. */
+  controllers: ControllerTarget[];
+  /** Whether the side includes machines of the zone that boot later, in addition to those that are up. */
+  includesLaterMachines: boolean;
 }
 
 const PARTITIONED_ZONE = "b";
-const EVERYTHING: HostGroups = { allBut: [] };
+const ALL_HOSTS: HostGroups = { allBut: [] };
 
-/** One controller reaches none of the hosts in `from`, nor they it. */
-export function isolateController(target: ControllerTarget, from: HostGroups, forMs: Amount): NetworkFault {
-  return { family: "network", kind: "controller isolated", target, from, forMs };
+/** Isolates one controller from the other hosts that `from` selects, in both directions. */
+export function isolateController(
+  target: ControllerTarget,
+  from: HostGroups,
+  durationMs: Amount,
+): NetworkFault {
+  return { family: "network", kind: "controller isolated", target, from, durationMs };
 }
 
-/** A controller reaches neither the state store nor the other controllers, but its workers and users. */
-export function isolateFromControlPlane(target: ControllerTarget, forMs: Amount): NetworkFault {
-  return isolateController(target, { only: ["state store", "controllers"] }, forMs);
+/** Isolates a controller from the state store and the other controllers; all other hosts can still reach it. */
+export function isolateFromControlPlane(target: ControllerTarget, durationMs: Amount): NetworkFault {
+  return isolateController(target, { only: ["state store", "controllers"] }, durationMs);
 }
 
-/** Zone b's machines, and these controllers with them, reach nothing else of what `from` names. */
+/**
+ * Isolates zone b's machines, including those that boot later, together with the given controllers from the other hosts
+ * that `from` selects; by default, from all other hosts.
+ */
 export function isolateZone(
-  withControllers: ControllerTarget[],
-  forMs: Amount,
-  from: HostGroups = EVERYTHING,
+  controllers: ControllerTarget[],
+  durationMs: Amount,
+  from: HostGroups = ALL_HOSTS,
 ): NetworkFault {
-  const zone = { with: withControllers, hasLaterMachines: true };
-  return { family: "network", kind: "zone isolated", zone, from, forMs };
+  const zone = { controllers, includesLaterMachines: true };
+  return { family: "network", kind: "zone isolated", zone, from, durationMs };
 }
 
-/** As `isolateZone`, for the machines that are up at that moment. */
-export function isolatePresentZone(withControllers: ControllerTarget[], forMs: Amount): NetworkFault {
-  const zone = { with: withControllers, hasLaterMachines: false };
-  return { family: "network", kind: "zone isolated", zone, from: EVERYTHING, forMs };
+/** Like `isolateZone` from all other hosts, but only for machines that are up when the fault is injected. */
+export function isolateCurrentZoneMachines(
+  controllers: ControllerTarget[],
+  durationMs: Amount,
+): NetworkFault {
+  const zone = { controllers, includesLaterMachines: false };
+  return { family: "network", kind: "zone isolated", zone, from: ALL_HOSTS, durationMs };
 }
 
-/** These machines reach nobody, and nobody them. */
-export function isolateMachines(machines: MachineSelection, forMs: number): NetworkFault {
-  return { family: "network", kind: "machines isolated", machines, isOutgoingOnly: false, forMs };
+/** Isolates the machines from all hosts, including each other, in both directions. */
+export function isolateMachines(machines: MachineSelection, durationMs: number): NetworkFault {
+  return { family: "network", kind: "machines isolated", machines, isOutgoingOnly: false, durationMs };
 }
 
-/** What these machines send is held, what is sent to them arrives. */
-export function holdHeartbeats(machines: MachineSelection, forMs: number): NetworkFault {
-  return { family: "network", kind: "machines isolated", machines, isOutgoingOnly: true, forMs };
+/** Holds all packets that the machines send; packets to them arrive. */
+export function holdHeartbeats(machines: MachineSelection, durationMs: number): NetworkFault {
+  return { family: "network", kind: "machines isolated", machines, isOutgoingOnly: true, durationMs };
 }
 
-/** The heartbeats of so many machines arrive, but responses and commands to them are held. */
-export function holdResponses(count: Count, forMs: Amount): NetworkFault {
-  return { family: "network", kind: "machines unreachable", count, forMs };
+/** Holds responses and commands to the first `count` machines; their heartbeats arrive. */
+export function holdResponses(count: Count, durationMs: Amount): NetworkFault {
+  return { family: "network", kind: "machines unreachable", count, durationMs };
 }
 
-/** Every packet takes up to so much longer from now on; 0: as usual. */
-export function slowLinks(extraDelayMs: number): NetworkFault {
-  return { family: "network", kind: "slow links", extraDelayMs };
+/** Delays each packet by a random time of up to `maxExtraDelayMs` from now on; 0 restores the normal latency. */
+export function slowLinks(maxExtraDelayMs: number): NetworkFault {
+  return { family: "network", kind: "slow links", maxExtraDelayMs };
 }
 
-/** Brings the fault about now; a target or count is drawn before its time. */
+/** Injects the fault now. A random target or count is drawn before a random duration. */
 export function injectNetworkFault(world: World, fault: NetworkFault): void {
   const { net, random } = world;
   switch (fault.kind) {
@@ -87,39 +98,39 @@
       const address = controllerAddress(pickController(world, fault.target));
       const from = hostFilter(fault.from);
       const others: HostFilter = (host) => host !== address && from(host);
-      net.partition((host) => host === address, others, drawAmount(random, fault.forMs));
+      net.partition((host) => host === address, others, sampleAmount(random, fault.durationMs));
       return;
     }
     case "zone isolated": {
       const inside = zoneSideFilter(world, fault.zone);
       const from = hostFilter(fault.from);
-      const forMs = drawAmount(random, fault.forMs);
-      net.partition(inside, (host) => !inside(host) && from(host), forMs);
+      const durationMs = sampleAmount(random, fault.durationMs);
+      net.partition(inside, (host) => !inside(host) && from(host), durationMs);
       return;
     }
     case "machines isolated":
-      net.partition(machineFilter(world, fault.machines), anyHost, fault.forMs, fault.isOutgoingOnly);
+      net.partition(machineFilter(world, fault.machines), anyHost, fault.durationMs, fault.isOutgoingOnly);
       return;
     case "machines unreachable": {
-      const count = drawCount(random, fault.count);
-      const forMs = drawAmount(random, fault.forMs);
-      net.partition(anyHost, machineFilter(world, { first: count }), forMs, true);
+      const count = sampleCount(random, fault.count);
+      const durationMs = sampleAmount(random, fault.durationMs);
+      net.partition(anyHost, machineFilter(world, { first: count }), durationMs, true);
       return;
     }
     case "slow links":
-      net.extraDelayMs = fault.extraDelayMs;
+      net.maxExtraDelayMs = fault.maxExtraDelayMs;
   }
 }
 
 function zoneSideFilter(world: World, side: ZoneSide): HostFilter {
-  const controllers = controllerHosts(side.with.map((target) => pickController(world, target)));
-  if (side.hasLaterMachines) return world.fleet.zoneHosts(PARTITIONED_ZONE, ...controllers);
+  const controllers = controllerAddresses(side.controllers.map((target) => pickController(world, target)));
+  if (side.includesLaterMachines) return world.fleet.zoneHosts(PARTITIONED_ZONE, ...controllers);
   const workers = pickWorkers(world, { zone: PARTITIONED_ZONE });
-  return oneOf([...controllers, ...workers.map(({ machine }) => machine.address)]);
+  return addressFilter([...controllers, ...workers.map(({ machine }) => machine.address)]);
 }
 
 function machineFilter(world: World, machines: MachineSelection): HostFilter {
-  return oneOf(pickWorkers(world, machines).map(({ machine }) => machine.address));
+  return addressFilter(pickWorkers(world, machines).map(({ machine }) => machine.address));
 }
 
 function anyHost(): boolean {
--- a/test/fakes/faults/targets.ts
+++ b/test/fakes/faults/targets.ts
@@ -1,17 +1,20 @@
-/** What a fault hits: controllers, machines or groups of hosts, chosen at the moment of the fault. */
+/** The targets of faults: controllers, machines or groups of hosts, selected when the fault is injected. */
 import type { HostFilter } from "../net.js";
 import { CLOUD_ADDRESS, controllerAddress, STATE_STORE_ADDRESS, USER_ADDRESS } from "../region.js";
 import type { SimWorker } from "../worker.js";
 import type { World } from "../world.js";
 
-/** One controller. Without a leader, "leader" is the first controller. */
+/**
+ * One controller. "any" is a random one; without a leader, "leader" is the first controller. `follower` is an index
+ * into the followers, `index` one into all controllers, modulo their number.
+ */
 export type ControllerTarget =
   "leader" | "any" | "first besides leader" | { name: string } | { follower: number } | { index: number };
 
-/** Several controllers. */
+/** One controller, all controllers, or all except the leader. */
 export type ControllerGroup = ControllerTarget | "all" | "followers";
 
-/** Draws one random number for "any", none otherwise. */
+/** Returns the name of the target. Draws one random number for "any" and none otherwise. */
 export function pickController(world: World, target: ControllerTarget): string {
   const { names, leaderOrFirst, followers } = world.controllers;
   if (target === "leader") return leaderOrFirst;
@@ -22,23 +25,26 @@
   return names[target.index % names.length]!;
 }
 
-/** In the order of their names; draws one random number for "any", none otherwise. */
+/** Returns the names of the group, in order. Draws one random number for "any" and none otherwise. */
 export function pickControllers(world: World, group: ControllerGroup): string[] {
   if (group === "all") return world.controllers.names;
   if (group === "followers") return world.controllers.followers;
   return [pickController(world, group)];
 }
 
-/** Machines that are up, in order of their boot: all, some by their place in it, a share, or those of a zone. */
+/**
+ * Machines that are up, in order of their boot: the first ones, those from index `from` up to but not including `to`,
+ * the given share of all, rounded up and counted from the first, or those of a zone.
+ */
 export type MachineSelection =
   | { first: number }
   | { from: number; to: number }
   | { share: number }
   | { zone: string }
-  /** So many in a row from a random one on. */
-  | { inARow: number };
+  /** Number of consecutive machines, starting at a random one and continuing at the first after the last. */
+  | { consecutive: number };
 
-/** Draws one random number for machines in a row, none otherwise. */
+/** Returns the selected workers. Draws one random number for `consecutive`, even without machines, else none. */
 export function pickWorkers(world: World, selection: MachineSelection): SimWorker[] {
   const workers = [...world.fleet.workers.values()];
   if ("first" in selection) return workers.slice(0, selection.first);
@@ -47,22 +53,25 @@
   if ("zone" in selection) return workers.filter(({ machine }) => machine.zone === selection.zone);
   const start = Math.floor(world.random() * workers.length);
   if (workers.length === 0) return [];
-  return Array.from({ length: selection.inARow }, (_, offset) => workers[(start + offset) % workers.length]!);
+  return Array.from(
+    { length: selection.consecutive },
+    (_, offset) => workers[(start + offset) % workers.length]!,
+  );
 }
 
-/** A random machine's worker; undefined: no machine is up. Draws one random number. */
-export function pickAnyWorker(world: World): SimWorker | undefined {
+/** Returns a random worker, or undefined if no machine is up. Draws one random number in either case. */
+export function pickRandomWorker(world: World): SimWorker | undefined {
   const workers = [...world.fleet.workers.values()];
   return workers[Math.floor(world.random() * workers.length)];
 }
 
-/** Kinds of hosts, distinguished by their addresses. */
+/** A kind of host; the address of a host determines its kind. */
 export type HostGroup = "state store" | "cloud" | "users" | "controllers" | "workers";
 
-/** Hosts of these groups alone, or of all groups but these. */
+/** The hosts of the listed groups, or those of all other groups. */
 export type HostGroups = { only: HostGroup[] } | { allBut: HostGroup[] };
 
-/** Accepts the hosts of these groups. */
+/** Returns a filter that selects the hosts of the given groups. */
 export function hostFilter(groups: HostGroups): HostFilter {
   if ("only" in groups) return (host) => groups.only.includes(groupOf(host));
   return (host) => !groups.allBut.includes(groupOf(host));
@@ -75,13 +84,13 @@
   return /^n\d/.test(host) ? "controllers" : "workers";
 }
 
-/** The hosts with those addresses. */
-export function oneOf(hosts: string[]): HostFilter {
+/** Returns a filter that selects the hosts with the given addresses. */
+export function addressFilter(hosts: string[]): HostFilter {
   const addresses = new Set(hosts);
   return (host) => addresses.has(host);
 }
 
-/** The addresses of these controllers. */
-export function controllerHosts(names: string[]): string[] {
+/** Returns the addresses of the controllers with the given names. */
+export function controllerAddresses(names: string[]): string[] {
   return names.map(controllerAddress);
 }
--- a/test/fakes/faults/userFaults.ts
+++ b/test/fakes/faults/userFaults.ts
@@ -1,69 +1,72 @@
-/** What users do at a bad moment, too often or wrongly. */
+/** Faults that users cause: ill-timed, excessive or invalid requests, and jobs whose tasks fail. */
 import type { JobSubmission, SimJob } from "../job.js";
 import { STATUS_QUERY_INTERVAL_MS, type RefusalStatus } from "../users.js";
 import type { SimWorker } from "../worker.js";
 import type { World } from "../world.js";
-import { drawAmount, drawCount, type Amount, type Count } from "./amounts.js";
+import { sampleAmount, sampleCount, type Amount, type Count } from "./amounts.js";
 import { pickController, type ControllerTarget } from "./targets.js";
 
-/** What users do wrongly; the functions below describe each kind. */
+/** A fault that users cause; the function that creates a kind of fault documents it. */
 export type UserFault = { family: "users" } & (
   | { kind: "cancellations"; count: Count; hangMs: Amount; through: ControllerTarget | null }
-  | { kind: "requests at completion"; share: number; forMs: number }
-  | { kind: "query flood"; factor: number; forMs: Amount }
-  | { kind: "failing jobs"; count: Count; cancelledAfterMs: Amount }
-  | { kind: "invalid requests"; forMs: number }
+  | { kind: "requests at completion"; share: number; durationMs: number }
+  | { kind: "query flood"; factor: number; durationMs: Amount }
+  | { kind: "failing jobs"; count: Count; cancelDelayMs: Amount }
+  | { kind: "invalid requests"; durationMs: number }
 );
 
-/** What a wave of cancellations may bring with it. */
+/** Optional parameters of `cancelJobs`. */
 export interface CancellationOptions {
-  /** Up to `MAX_HUNG` of the machines that run the jobs hang for so long. */
+  /** Duration for which up to `MAX_HUNG_WORKERS` of the workers that run the jobs hang; 0, the default, for none. */
   hangMs?: Amount;
-  /** The controller that takes the cancellations; any unless given. */
+  /** Controller to which the cancellations are sent; by default, a random running one for each. */
   through?: ControllerTarget;
 }
 
-/** Users cancel so many running jobs within a fifth of a second. */
+/** Cancels the `count` running jobs with the longest run times, each at a random time within `CANCEL_SPREAD_MS`. */
 export function cancelJobs(count: Count, { hangMs = 0, through }: CancellationOptions = {}): UserFault {
   return { family: "users", kind: "cancellations", count, hangMs, through: through ?? null };
 }
 
-/** As a job's last task ends, that share of jobs is cancelled, queried or submitted again. */
-export function requestsAtCompletion(share: number, forMs: number): UserFault {
-  return { family: "users", kind: "requests at completion", share, forMs };
+/** Cancels, queries or resubmits the given share of the jobs that complete within `durationMs`, upon completion. */
+export function requestsAtCompletion(share: number, durationMs: number): UserFault {
+  return { family: "users", kind: "requests at completion", share, durationMs };
 }
 
-/** Users query each unfinished job that many times as often as usual. */
-export function floodWithQueries(factor: number, forMs: Amount): UserFault {
-  return { family: "users", kind: "query flood", factor, forMs };
+/** For `durationMs`, queries each unfinished job `factor` times as often as usual, in addition to the usual queries. */
+export function floodWithQueries(factor: number, durationMs: Amount): UserFault {
+  return { family: "users", kind: "query flood", factor, durationMs };
 }
 
-/** Jobs whose tasks fail on every machine, until their users cancel them after that time. */
-export function submitFailingJobs(count: Count, cancelledAfterMs: Amount): UserFault {
-  return { family: "users", kind: "failing jobs", count, cancelledAfterMs };
+/** Submits `count` jobs whose tasks fail on every machine; their users cancel them after `cancelDelayMs`. */
+export function submitFailingJobs(count: Count, cancelDelayMs: Amount): UserFault {
+  return { family: "users", kind: "failing jobs", count, cancelDelayMs };
 }
 
-/** Users resubmit unfinished jobs, cancel jobs that are done, and submit what must be refused. */
-export function sendInvalidRequests(forMs: number): UserFault {
-  return { family: "users", kind: "invalid requests", forMs };
+/** For `durationMs`, resubmits unfinished jobs, cancels completed ones and sends submissions that must be rejected. */
+export function sendInvalidRequests(durationMs: number): UserFault {
+  return { family: "users", kind: "invalid requests", durationMs };
 }
 
-/** Cancellations of one wave are spread over this time. */
+/** Time over which the cancellations of one fault are spread. */
 const CANCEL_SPREAD_MS = 200;
-/** Most machines that hang with one wave of cancellations. */
-const MAX_HUNG = 8;
-/** Jobs without an end count as running this long, when the longest are chosen. */
-const ENDLESS_S = 1e9;
-/** A request at a job's completion comes at once or within this time. */
+/** Maximum number of workers that hang because of one cancellation fault. */
+const MAX_HUNG_WORKERS = 8;
+/** Run time of jobs that run until they are cancelled, for sorting jobs by run time. */
+const UNBOUNDED_RUN_TIME_S = 1e9;
+/** Maximum delay between a job's completion and a request; half of the requests are sent without delay. */
 const COMPLETION_SPREAD_MS = 60;
+/** Estimated and actual run time of the failing jobs' tasks; it is never reached, as they fail before they run. */
 const FAILING_JOB_RUN_S = 5;
 
-const FAILING_FORMS: Partial<JobSubmission>[] = [
+/** Fields of the failing jobs, which are submitted as an array, a service and a gang in turn. */
+const FAILING_SUBMISSIONS: Partial<JobSubmission>[] = [
   { form: "array", spores: 8, cores: 1, rank: "high" },
   { form: "standing", spores: 2, cores: 1, rank: "prod" },
   { form: "ensemble", spores: 2, cores: 1, gpus: 1, rank: "high", together: true },
 ];
 
+/** A submission that is valid except for its missing id; each entry of `INVALID_CHANGES` makes it invalid. */
 const VALID_SUBMISSION: Omit<JobSubmission, "ref"> = {
   strain: "s",
   crew: "one",
@@ -83,7 +86,10 @@
   stashS: 0,
 };
 
-/** Changes to a valid submission that can never run or lacks a field, and the status it must be refused with. */
+/**
+ * Changes that make the valid submission malformed (400) or impossible to run (422), with the status with which it must
+ * be rejected.
+ */
 const INVALID_CHANGES: [RefusalStatus, Record<string, unknown>][] = [
   [422, { crew: "nobody" }],
   [422, { cores: 17 }],
@@ -102,62 +108,64 @@
   [400, { seedstock: undefined }],
 ];
 
-/** Brings it about now; a count is drawn before its time. */
+/** Injects the fault now. A random count is drawn before a random duration, and both before a random controller. */
 export function injectUserFault(world: World, fault: UserFault): void {
   const { random } = world;
   switch (fault.kind) {
     case "cancellations": {
-      const count = drawCount(random, fault.count);
-      const hangMs = drawAmount(random, fault.hangMs);
-      const at = fault.through === null ? undefined : pickController(world, fault.through);
-      cancelRunningJobs(world, count, hangMs, at);
+      const count = sampleCount(random, fault.count);
+      const hangMs = sampleAmount(random, fault.hangMs);
+      const controller = fault.through === null ? undefined : pickController(world, fault.through);
+      cancelRunningJobs(world, count, hangMs, controller);
       return;
     }
     case "requests at completion":
-      sendRequestsAtCompletion(world, fault.share, fault.forMs);
+      sendRequestsAtCompletion(world, fault.share, fault.durationMs);
       return;
     case "query flood":
-      queryOften(world, fault.factor, drawAmount(random, fault.forMs));
+      queryStatusOften(world, fault.factor, sampleAmount(random, fault.durationMs));
       return;
     case "failing jobs": {
-      const count = drawCount(random, fault.count);
-      submitJobsThatFail(world, count, drawAmount(random, fault.cancelledAfterMs));
+      const count = sampleCount(random, fault.count);
+      submitJobsThatFail(world, count, sampleAmount(random, fault.cancelDelayMs));
       return;
     }
     case "invalid requests":
-      repeatInvalidRequests(world, world.clock.nowMs() + fault.forMs);
+      repeatInvalidRequests(world, world.clock.nowMs() + fault.durationMs);
   }
 }
 
-/** Jobs that run and were not cancelled, those with the longest tasks first. */
+/** Returns the jobs with live tasks that no user has cancelled, in descending order of run time. */
 function runningJobs({ users, fleet }: World): SimJob[] {
   return [...users.jobs.values()]
     .filter((job) => job.isAccepted && !job.isCancelRequested && job.finalPhase === null)
     .filter((job) => fleet.liveTasks(job.spec.ref).length > 0)
-    .sort((left, right) => (right.runTimeS ?? ENDLESS_S) - (left.runTimeS ?? ENDLESS_S));
+    .sort(
+      (left, right) => (right.runTimeS ?? UNBOUNDED_RUN_TIME_S) - (left.runTimeS ?? UNBOUNDED_RUN_TIME_S),
+    );
 }
 
-function cancelRunningJobs(world: World, count: number, hangMs: number, at?: string): void {
-  const hung = new Set<SimWorker>();
+function cancelRunningJobs(world: World, count: number, hangMs: number, controller?: string): void {
+  const hungWorkers = new Set<SimWorker>();
   for (const job of runningJobs(world).slice(0, count)) {
     world.clock.after(world.random() * CANCEL_SPREAD_MS, () => {
-      world.users.cancel(job, at);
-      if (hangMs > 0) hangWorkersOf(world, job, hangMs, hung);
+      world.users.cancel(job, controller);
+      if (hangMs > 0) hangWorkersOf(world, job, hangMs, hungWorkers);
     });
   }
 }
 
-function hangWorkersOf(world: World, job: SimJob, hangMs: number, hung: Set<SimWorker>): void {
+function hangWorkersOf(world: World, job: SimJob, hangMs: number, hungWorkers: Set<SimWorker>): void {
   for (const { worker } of world.fleet.liveTasks(job.spec.ref)) {
-    if (hung.size >= MAX_HUNG || hung.has(worker)) continue;
-    hung.add(worker);
+    if (hungWorkers.size >= MAX_HUNG_WORKERS || hungWorkers.has(worker)) continue;
+    hungWorkers.add(worker);
     worker.hang(hangMs);
   }
 }
 
-function sendRequestsAtCompletion(world: World, share: number, forMs: number): void {
+function sendRequestsAtCompletion(world: World, share: number, durationMs: number): void {
   const { clock, random, users } = world;
-  const untilMs = clock.nowMs() + forMs;
+  const untilMs = clock.nowMs() + durationMs;
   world.onTaskEnd = (job, task) => {
     const isComplete = task.cause === "done" && job.doneTasks.size >= job.spec.spores;
     if (clock.nowMs() > untilMs || !isComplete) return;
@@ -172,8 +180,8 @@
   };
 }
 
-function queryOften({ clock, users }: World, factor: number, forMs: number): void {
-  const untilMs = clock.nowMs() + forMs;
+function queryStatusOften({ clock, users }: World, factor: number, durationMs: number): void {
+  const untilMs = clock.nowMs() + durationMs;
   const queryAll = (): void => {
     if (clock.nowMs() > untilMs) return;
     clock.after(STATUS_QUERY_INTERVAL_MS / factor, queryAll);
@@ -184,12 +192,12 @@
   queryAll();
 }
 
-function submitJobsThatFail(world: World, count: number, cancelledAfterMs: number): void {
+function submitJobsThatFail(world: World, count: number, cancelDelayMs: number): void {
   const { clock, fleet, users } = world;
   const prefixes: string[] = [];
-  const failsAlready = fleet.failsEverywhere;
+  const previousFailsEverywhere = fleet.failsEverywhere;
   fleet.failsEverywhere = (taskName) =>
-    prefixes.some((prefix) => taskName.startsWith(prefix)) || failsAlready(taskName);
+    prefixes.some((prefix) => taskName.startsWith(prefix)) || previousFailsEverywhere(taskName);
   for (let i = 0; i < count; i++) {
     const ref = `job-6${String(users.faultJobCount++).padStart(5, "0")}`;
     prefixes.push(`${ref}/`);
@@ -197,10 +205,10 @@
       ref,
       crew: i % 2 ? "one" : "two",
       memoryGb: 1,
-      ...FAILING_FORMS[i % FAILING_FORMS.length]!,
+      ...FAILING_SUBMISSIONS[i % FAILING_SUBMISSIONS.length]!,
     };
     const job = users.submit(fields, FAILING_JOB_RUN_S);
-    clock.after(cancelledAfterMs, () => users.cancel(job));
+    clock.after(cancelDelayMs, () => users.cancel(job));
   }
 }
 
@@ -220,7 +228,7 @@
   users.submitInvalid(status, { ...VALID_SUBMISSION, ref, ...change });
 }
 
-/** Draws one random number, also from an empty list. */
+/** Returns a random item, or undefined if there is none. Draws one random number in either case. */
 function pickOne<Item>(random: () => number, items: Item[]): Item | undefined {
   return items[Math.floor(random() * items.length)];
 }
--- a/test/fakes/net.ts
+++ b/test/fakes/net.ts
@@ -47,7 +47,7 @@
   /** Maximum delay of a duplicate after its original. */
   maxDuplicateDelayMs = 20_500;
   /** Upper bound of the additional random latency of each packet; 0 for none. */
-  extraDelayMs = 0;
+  maxExtraDelayMs = 0;
   private readonly handlers = new Map<string, RequestHandler>();
   private partitions: Partition[] = [];
 
@@ -57,8 +57,8 @@
   ) {}
 
   /** Registers the handler for an address, replacing any earlier one. */
-  listen(address: string, host: RequestHandler): void {
-    this.handlers.set(address, host);
+  listen(address: string, handler: RequestHandler): void {
+    this.handlers.set(address, handler);
   }
 
   /** Removes the handler of an address; connections to it are refused from now on. */
@@ -66,9 +66,9 @@
     this.handlers.delete(address);
   }
 
-  /** Holds packets between the two groups for `forMs`, in both directions unless `isOneWay` is set. */
-  partition(senders: HostFilter, receivers: HostFilter, forMs: number, isOneWay = false): void {
-    this.partitions.push({ senders, receivers, untilMs: this.clock.nowMs() + forMs, isOneWay });
+  /** Holds packets between the two groups for `durationMs`, in both directions unless `isOneWay` is set. */
+  partition(senders: HostFilter, receivers: HostFilter, durationMs: number, isOneWay = false): void {
+    this.partitions.push({ senders, receivers, untilMs: this.clock.nowMs() + durationMs, isOneWay });
   }
 
   /**
@@ -77,7 +77,7 @@
   transmit(from: string, to: string, deliver: () => void): void {
     const nowMs = this.clock.nowMs();
     this.partitions = this.partitions.filter(({ untilMs }) => untilMs > nowMs);
-    let arrivalMs = nowMs + MIN_DELAY_MS + this.random() * (DELAY_SPREAD_MS + this.extraDelayMs);
+    let arrivalMs = nowMs + MIN_DELAY_MS + this.random() * (DELAY_SPREAD_MS + this.maxExtraDelayMs);
     for (const partition of this.partitions) {
       if (!blocks(partition, from, to)) continue;
       arrivalMs = Math.max(arrivalMs, partition.untilMs + this.random() * RELEASE_SPREAD_MS);
@@ -131,8 +131,8 @@
     onReply: (reply: ClientResponse) => void,
     onRefused: () => void,
   ): void {
-    const host = this.handlers.get(address);
-    if (!host) {
+    const handler = this.handlers.get(address);
+    if (!handler) {
       onRefused();
       return;
     }
@@ -140,7 +140,7 @@
       const text = JSON.stringify(body ?? null);
       this.transmit(address, from, () => onReply({ status, body: JSON.parse(text) as unknown }));
     };
-    host(request, respond, from);
+    handler(request, respond, from);
   }
 }
 
--- a/test/fakes/randomizedDay.ts
+++ b/test/fakes/randomizedDay.ts
@@ -1,6 +1,6 @@
 /** Randomized simulated days: runs the fault schedule that a seed generates and formats the outcome. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { drawSchedule, type DrawnSchedule } from "./faults/drawnSchedule.js";
+import { generateSchedule, type RandomizedSchedule } from "./faults/randomizedSchedule.js";
 import { inject } from "./faults/fault.js";
 import { submitLongRunningServices } from "./longRunningServices.js";
 import { submitMixedWorkload } from "./mixedWorkload.js";
@@ -9,7 +9,7 @@
 
 /** The result of a randomized day. */
 export interface RandomizedDayOutcome {
-  schedule: DrawnSchedule;
+  schedule: RandomizedSchedule;
   violations: Violation[];
   /** Ids of the accepted jobs that were neither completed nor cancelled at the end of the day. */
   unfinishedJobIds: string[];
@@ -26,7 +26,7 @@
 export async function runRandomizedDay(seed: number): Promise<RandomizedDayOutcome> {
   const generator = xoroshiro128plus(seed);
   for (let i = 0; i < SKIPPED_OUTPUTS; i++) generator.next();
-  const schedule = drawSchedule(() => (generator.next() >>> 0) / 2 ** 32);
+  const schedule = generateSchedule(() => (generator.next() >>> 0) / 2 ** 32);
   const world = new World(seed, schedule.options);
   world.net.duplicateShare = schedule.duplicateShare;
   world.net.maxDuplicateDelayMs = 30_000;
--- a/test/fakes/stateStore.ts
+++ b/test/fakes/stateStore.ts
@@ -95,28 +95,29 @@
   }
 
   /**
-   * Answers every request with an error for `forMs`. The end of the outage renews all leases for their full duration.
+   * Answers every request with an error for `durationMs`. The end of the outage renews all leases for their full
+   * duration.
    */
-  startOutage(forMs: number): void {
-    this.outageUntilMs = this.clock.nowMs() + forMs;
-    this.clock.after(forMs, () => {
+  startOutage(durationMs: number): void {
+    this.outageUntilMs = this.clock.nowMs() + durationMs;
+    this.clock.after(durationMs, () => {
       for (const lease of this.leases.values()) lease.expiresAtMs = this.clock.nowMs() + lease.ttlMs;
     });
   }
 
-  /** Delays every response by a random time of up to `byMs`, for `forMs`. */
-  delayResponses(byMs: number, forMs: number): void {
-    this.slowResponses = { amount: byMs, untilMs: this.clock.nowMs() + forMs };
+  /** Delays every response by a random time of up to `maxExtraDelayMs`, for `durationMs`. */
+  delayResponses(maxExtraDelayMs: number, durationMs: number): void {
+    this.slowResponses = { amount: maxExtraDelayMs, untilMs: this.clock.nowMs() + durationMs };
   }
 
-  /** For `forMs`, leaves the given share of transactions unanswered and applies them 2 to 12 s later. */
-  delayTransactions(share: number, forMs: number): void {
-    this.delayedTransactions = { amount: share, untilMs: this.clock.nowMs() + forMs };
+  /** For `durationMs`, leaves the given share of transactions unanswered and applies them 2 to 12 s later. */
+  delayTransactions(share: number, durationMs: number): void {
+    this.delayedTransactions = { amount: share, untilMs: this.clock.nowMs() + durationMs };
   }
 
-  /** Answers one host with errors for `forMs`; other hosts are not affected. */
-  refuseHost(host: string, forMs: number): void {
-    this.refusedUntilMs.set(host, this.clock.nowMs() + forMs);
+  /** Answers one host with errors for `durationMs`; other hosts are not affected. */
+  refuseHost(host: string, durationMs: number): void {
+    this.refusedUntilMs.set(host, this.clock.nowMs() + durationMs);
   }
 
   private respondInTime(reply: ClientResponse, respond: Respond): void {
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -66,7 +66,7 @@
   private controllerIndex: number;
   private isAlive = true;
   private hungUntilMs = -Infinity;
-  private commandsLostUntilMs = -Infinity;
+  private dropCommandsUntilMs = -Infinity;
   private isHeartbeatPending = false;
   private nextHeartbeatMs = 0;
   private lastHeartbeatMs = -Infinity;
@@ -83,7 +83,7 @@
     this.controllerIndex = Math.floor(random() * controllers.length);
     this.taskRunner = new SimTaskRunner(this.createTaskHost());
     net.listen(machine.address, (request, respond) => {
-      if (this.nowMs() < this.commandsLostUntilMs) return;
+      if (this.nowMs() < this.dropCommandsUntilMs) return;
       this.whenResponsive(() => respond(this.serve(request)));
     });
     this.checkPeriodically();
@@ -101,16 +101,19 @@
     this.taskRunner.endAll();
   }
 
-  /** Drops directly sent commands for `forMs`; heartbeats and the commands in their responses are still exchanged. */
-  dropCommands(forMs: number): void {
-    this.commandsLostUntilMs = this.nowMs() + forMs;
+  /**
+   * Drops directly sent commands for `durationMs`; heartbeats and the commands in their responses are still exchanged.
+   */
+  dropCommands(durationMs: number): void {
+    this.dropCommandsUntilMs = this.nowMs() + durationMs;
   }
 
   /**
-   * Suspends the worker for `forMs` while its lease continues to run; it processes the input of that time afterwards.
+   * Suspends the worker for `durationMs` while its lease continues to run; it processes the input of that time
+   * afterwards.
    */
-  hang(forMs: number): void {
-    this.hungUntilMs = this.nowMs() + forMs;
+  hang(durationMs: number): void {
+    this.hungUntilMs = this.nowMs() + durationMs;
   }
 
   private createTaskHost(): TaskHost {
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -38,7 +38,9 @@
   zones?: string[];
   /** Maximum number of machines that the cloud provides at a time; the default is 12. */
   capacity?: number;
+  /** Resource limits of each team; the default is `TEAM_LIMITS`. */
   limits?: TeamLimits;
+  /** Service level objectives in the controllers' settings; the default is none. */
   objectives?: PlatformSettings["objectives"];
 }
 
@@ -101,9 +103,15 @@
     return this.controllers.leader;
   }
 
-  /** Moves `faultFreeFromMs` to at least the recovery allowance after a fault that lasts `forMs` from now. */
-  extendFaultPeriod(forMs: number): void {
-    this.faultFreeFromMs = Math.max(this.faultFreeFromMs, this.clock.nowMs() + forMs + RECOVERY_ALLOWANCE_MS);
+  /**
+   * Accounts for a fault that lasts `faultDurationMs` from now: `faultFreeFromMs` becomes at least the end of the
+   * recovery allowance after it.
+   */
+  extendFaultPeriod(faultDurationMs: number): void {
+    this.faultFreeFromMs = Math.max(
+      this.faultFreeFromMs,
+      this.clock.nowMs() + faultDurationMs + RECOVERY_ALLOWANCE_MS,
+    );
   }
 
   /** Advances simulated time and runs every timer that becomes due. */
--- a/test/overlappingFaults.test.ts
+++ b/test/overlappingFaults.test.ts
@@ -2,8 +2,8 @@
 import { repeatedSteps, testSimulatedDays, type SimulatedDay } from "./fakes/simulatedDay.js";
 import { crash } from "./fakes/faults/controllerFaults.js";
 import {
-  disturbBoots,
-  ignoreAnyHeartbeats,
+  disruptBoots,
+  dropHeartbeatsOfConsecutiveMachines,
   loseMachines,
   makeMachinesFaulty,
 } from "./fakes/faults/machineFaults.js";
@@ -108,10 +108,10 @@
     alsoWithFiveControllers: true,
     longRunningServices: 6,
     steps: [
-      [10, ignoreAnyHeartbeats(5, 18_000)],
+      [10, dropHeartbeatsOfConsecutiveMachines(5, 18_000)],
       [12, cancelJobs(2)],
       [20, crash("leader", 90)],
-      [32, ignoreAnyHeartbeats(5, 12_000)],
+      [32, dropHeartbeatsOfConsecutiveMachines(5, 12_000)],
     ],
   },
   {
@@ -122,7 +122,7 @@
     submitWorkload: submitOverload,
     steps: [
       [3, slowLinks(250)],
-      [20, ignoreAnyHeartbeats(2, 9000)],
+      [20, dropHeartbeatsOfConsecutiveMachines(2, 9000)],
       [45, slowLinks(0)],
     ],
   },
@@ -134,9 +134,9 @@
     maxDuplicateDelayS: 40,
     longRunningServices: 4,
     steps: [
-      [10, ignoreAnyHeartbeats(4, 9500)],
+      [10, dropHeartbeatsOfConsecutiveMachines(4, 9500)],
       [20, crash("leader", 90)],
-      [24, ignoreAnyHeartbeats(4, 9500)],
+      [24, dropHeartbeatsOfConsecutiveMachines(4, 9500)],
       [35, crash("leader", 2500)],
     ],
   },
@@ -168,10 +168,10 @@
     seed: 724,
     alsoWithFiveControllers: true,
     steps: [
-      [8, disturbBoots(4, { delayFactor: 4, failureShare: 0.4 }, 20_000)],
+      [8, disruptBoots(4, { delayFactor: 4, failureShare: 0.4 }, 20_000)],
       [10, crash("leader", 2500)],
       [12, cloudOutage(12_000)],
-      [30, disturbBoots(4, { delayFactor: 0.1, failureShare: 0 }, 10_000)],
+      [30, disruptBoots(4, { delayFactor: 0.1, failureShare: 0 }, 10_000)],
       [31.5, crash("leader", 90)],
     ],
   },
--- a/test/randomizedDays.test.ts
+++ b/test/randomizedDays.test.ts
@@ -8,11 +8,11 @@
 import type { Amount } from "./fakes/faults/amounts.js";
 import { crash, freeze } from "./fakes/faults/controllerFaults.js";
 import { inject, type Fault } from "./fakes/faults/fault.js";
-import { hangAnyMachines, loseAnyMachines } from "./fakes/faults/machineFaults.js";
+import { hangRandomMachines, loseRandomMachines } from "./fakes/faults/machineFaults.js";
 import {
   isolateController,
   isolateFromControlPlane,
-  isolatePresentZone,
+  isolateCurrentZoneMachines,
   isolateZone,
 } from "./fakes/faults/networkFaults.js";
 import { cloudOutage, refuseAtStateStore, stateStoreOutage } from "./fakes/faults/serviceFaults.js";
@@ -41,10 +41,10 @@
   refuseAtStateStore("leader", durationUpTo(20_000)),
   isolateController("leader", { only: ["state store"] }, durationUpTo(20_000)),
   isolateController("leader", { only: ["workers"] }, durationUpTo(20_000)),
-  hangAnyMachines(3, { from: 0, spread: 20_000 }),
-  loseAnyMachines(1),
+  hangRandomMachines(3, { from: 0, spread: 20_000 }),
+  loseRandomMachines(1),
   cloudOutage(durationUpTo(20_000)),
-  isolatePresentZone([{ name: "n1" }], durationUpTo(20_000)),
+  isolateCurrentZoneMachines([{ name: "n1" }], durationUpTo(20_000)),
 ];
 
 /**
@@ -76,8 +76,8 @@
   isolateController("any", { only: ["workers"] }, durationUpTo(25_000)),
   isolateZone(controllersInZoneB, durationUpTo(40_000)),
   isolateZone(controllersInZoneB, durationUpTo(40_000), { allBut: ["state store", "cloud", "users"] }),
-  hangAnyMachines(3, { from: 0, spread: 20_000 }),
-  loseAnyMachines(3),
+  hangRandomMachines(3, { from: 0, spread: 20_000 }),
+  loseRandomMachines(3),
 ];
 
 /**
--- a/test/simulatedDays.test.ts
+++ b/test/simulatedDays.test.ts
@@ -3,9 +3,9 @@
 import { crash, freeze, refuseConnections } from "./fakes/faults/controllerFaults.js";
 import {
   hangMachines,
-  ignoreHeartbeats,
+  dropHeartbeats,
   loseMachines,
-  makeMachinesFaultyForEver,
+  makeMachinesPermanentlyFaulty,
 } from "./fakes/faults/machineFaults.js";
 import {
   holdResponses,
@@ -124,7 +124,7 @@
   {
     name: "every task that starts on one machine fails",
     seed: 117,
-    steps: [[10, makeMachinesFaultyForEver(1)]],
+    steps: [[10, makeMachinesPermanentlyFaulty(1)]],
   },
   {
     name: "the heartbeats of machines arrive, but responses and commands do not reach the machines",
@@ -136,7 +136,7 @@
     name: "the heartbeats of machines get no response, but commands reach the machines",
     seed: 119,
     alsoWithFiveControllers: true,
-    steps: [10, 14, 18, 22, 26].map((atS) => [atS, ignoreHeartbeats({ first: 4 }, 9500)]),
+    steps: [10, 14, 18, 22, 26].map((atS) => [atS, dropHeartbeats({ first: 4 }, 9500)]),
   },
   {
     name: "duplicates of heartbeats arrive late by well over a lease duration, also at new leaders",
