--- a/src/bookkeeping/stateStoreClient.ts
+++ b/src/bookkeeping/stateStoreClient.ts
@@ -88,13 +88,13 @@
 
 /**
  * One controller's client of the state store, limited to its share of the rate limits. Each call finishes by its
- * deadline (monotonic time in milliseconds) with an outcome and never throws.
+ * deadline (steady time in milliseconds) with an outcome and never throws.
  */
 export class StateStoreClient {
   private readonly requests: TokenBucket;
   private readonly writes: TokenBucket;
   /** When the newest request that the state store served was sent; the store was reachable at least until then. */
-  lastServedSentMs = -Infinity;
+  lastServedRequestSentMs = -Infinity;
   /** When a request last failed without a response or was answered with 503 (unavailable). */
   lastRefusedMs = -Infinity;
 
@@ -229,7 +229,7 @@
       }
       if (response.status !== HTTP_TOO_MANY_REQUESTS) {
         if (response.status === HTTP_SERVICE_UNAVAILABLE) this.lastRefusedMs = this.clock.nowMs();
-        else this.lastServedSentMs = Math.max(this.lastServedSentMs, sentMs);
+        else this.lastServedRequestSentMs = Math.max(this.lastServedRequestSentMs, sentMs);
         return response;
       }
       // The controllers together exceeded the rate limit. The request was not executed, so a retry is safe.
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -28,7 +28,7 @@
 /** A shorter leadership lease would occasionally expire because of a slow response from the state store. */
 const LEADERSHIP_LEASE_MS = 4000;
 /** Interval at which a controller that does not lead reads who does. */
-const PROBE_INTERVAL_MS = 500;
+const POLL_INTERVAL_MS = 500;
 /** Timeout of a worker's response to commands. */
 const COMMAND_TIMEOUT_MS = 3000;
 /** Minimum time between the starts of two reads of live jobs. */
@@ -46,7 +46,7 @@
   stateStoreHttp: HttpCaller;
   cloudHttp: HttpCaller;
   workerHttp: HttpCaller;
-  peerPort: PeerSender;
+  peerSender: PeerSender;
   /** Unique to each process of this controller. */
   incarnation: string;
   /** Returns a random number from 0 (included) to 1 (excluded). */
@@ -143,7 +143,7 @@
   }
 
   private readonly sendToPeer = (peer: string, message: PeerMessage): boolean =>
-    this.environment.peerPort.send(peer, encodePeerMessage(message));
+    this.environment.peerSender.send(peer, encodePeerMessage(message));
 
   private readonly lagMs = (): number => this.eventLoopLag.lagMs;
 
@@ -237,7 +237,7 @@
       send: this.sendToPeer,
       random,
       leaseMs: LEADERSHIP_LEASE_MS,
-      pollIntervalMs: PROBE_INTERVAL_MS,
+      pollIntervalMs: POLL_INTERVAL_MS,
       onLeadershipChange: (change) => this.handleLeadershipChange(change),
     });
   }
--- a/src/controller/process.ts
+++ b/src/controller/process.ts
@@ -60,7 +60,7 @@
     stateStoreHttp,
     cloudHttp,
     workerHttp,
-    peerPort: links,
+    peerSender: links,
     incarnation: createIncarnation(Math.random),
     random: Math.random,
   });
--- a/src/controller/readiness.ts
+++ b/src/controller/readiness.ts
@@ -15,7 +15,9 @@
   private hasMachineTypes = false;
   private leaderServedAtMs = -Infinity;
 
-  constructor(private readonly stateStore: Pick<StateStoreClient, "lastServedSentMs" | "lastRefusedMs">) {}
+  constructor(
+    private readonly stateStore: Pick<StateStoreClient, "lastServedRequestSentMs" | "lastRefusedMs">,
+  ) {}
 
   setMachineTypesKnown(): void {
     this.hasMachineTypes = true;
@@ -28,8 +30,8 @@
 
   isReady(nowMs: number): boolean {
     if (!this.hasMachineTypes) return false;
-    const { lastServedSentMs, lastRefusedMs } = this.stateStore;
-    const refusedForMs = lastRefusedMs > lastServedSentMs ? nowMs - lastServedSentMs : 0;
+    const { lastServedRequestSentMs, lastRefusedMs } = this.stateStore;
+    const refusedForMs = lastRefusedMs > lastServedRequestSentMs ? nowMs - lastServedRequestSentMs : 0;
     const onlyThisNodeIsCutOff =
       refusedForMs > CUT_OFF_THRESHOLD_MS && nowMs - this.leaderServedAtMs < LEADER_SERVED_VALIDITY_MS;
     return !onlyThisNodeIsCutOff;
--- a/src/coordination/consolidation/consolidationSnapshot.ts
+++ b/src/coordination/consolidation/consolidationSnapshot.ts
@@ -46,9 +46,9 @@
     const machines: MachineLoadSnapshot[] = [];
     for (const machine of this.context.machines.values()) {
       if (machine.state !== "up" || !machine.type) continue;
-      const requestedLoad = loadOf(machine.used, machine.type);
-      if (!this.isCandidate(machine, requestedLoad)) continue;
-      machines.push(this.snapshotMachine(machine, machine.type, requestedLoad));
+      const plannedLoad = loadOf(machine.used, machine.type);
+      if (!this.isCandidate(machine, plannedLoad)) continue;
+      machines.push(this.snapshotMachine(machine, machine.type, plannedLoad));
     }
     return { machines, attempts: this.attempts };
   }
@@ -57,14 +57,14 @@
    * Whether a round may empty or relieve the machine. Most machines are left out, because they are well loaded and run
    * no more than the planned tasks.
    */
-  private isCandidate(machine: Machine, requestedLoad: number): boolean {
+  private isCandidate(machine: Machine, plannedLoad: number): boolean {
     return (
-      loadLevelOf(requestedLoad, this.context.operator.highLoadShare) === "low" ||
+      loadLevelOf(plannedLoad, this.context.operator.highLoadShare) === "low" ||
       machine.reportedTasks.length > machine.attempts.size
     );
   }
 
-  private snapshotMachine(machine: Machine, type: MachineType, requestedLoad: number): MachineLoadSnapshot {
+  private snapshotMachine(machine: Machine, type: MachineType, plannedLoad: number): MachineLoadSnapshot {
     // With an outdated heartbeat, a round would move tasks that are already gone.
     let isSettled =
       this.nowMs - machine.lastContactMs < this.context.heartbeatS * (MAX_HEARTBEAT_AGE_INTERVALS * MS_PER_S);
@@ -79,7 +79,7 @@
       tasks,
       acceptsTasks: isSettled && !machine.isCordoned && machine.interruptionAtMs === null,
       reportedLoad: loadOf(this.reportedResources(machine), type),
-      plannedLoad: requestedLoad,
+      plannedLoad,
     };
   }
 
--- a/src/coordination/heartbeats/grantIssuer.ts
+++ b/src/coordination/heartbeats/grantIssuer.ts
@@ -13,7 +13,7 @@
 /** Outcome of this controller's latest requests to the state store. */
 export interface StateStoreHealth {
   /** When the latest request that the state store served was sent, in steady time; -Infinity if never. */
-  readonly lastServedSentMs: number;
+  readonly lastServedRequestSentMs: number;
   /** When a request last failed or was refused as unavailable, in steady time; -Infinity if never. */
   readonly lastRefusedMs: number;
 }
@@ -62,7 +62,7 @@
       leaderLoad: this.leaderLoad(),
       nowMs,
       acknowledgeUntilMs: Math.min(lease.acknowledgeUntilMs, limits.acknowledgeUntilMs),
-      stateStoreReachable: stateStore.lastServedSentMs > stateStore.lastRefusedMs,
+      stateStoreReachable: stateStore.lastServedRequestSentMs > stateStore.lastRefusedMs,
       zoneDurationMs: this.zoneLeaseMs(this.peerZones.get(update.from) ?? "", nowMs),
       quarantined: limits.quarantined,
     });
--- a/src/coordination/leadership/elector.ts
+++ b/src/coordination/leadership/elector.ts
@@ -262,7 +262,7 @@
       mayConfirmExtension({
         nowMs: clock.nowMs(),
         hasReadLeadership: this.known.hasReadLeadership,
-        lastServedSentMs: stateStore.lastServedSentMs,
+        lastServedRequestSentMs: stateStore.lastServedRequestSentMs,
         lastRefusedMs: stateStore.lastRefusedMs,
         knownTerm: this.known.term,
         requestedTerm: term,
--- a/src/coordination/leadership/leaseExtension.ts
+++ b/src/coordination/leadership/leaseExtension.ts
@@ -21,7 +21,7 @@
   /** True if this process has read the leadership keys at least once. */
   hasReadLeadership: boolean;
   /** When the last request that the state store served was sent; -Infinity if there is none. */
-  lastServedSentMs: number;
+  lastServedRequestSentMs: number;
   /** When a request last failed or was refused as unavailable; -Infinity if none was. */
   lastRefusedMs: number;
   /** The newest term that this controller knows. */
@@ -35,7 +35,7 @@
     // A restarted controller does not know the newest term before its first read.
     facts.hasReadLeadership &&
     facts.knownTerm <= facts.requestedTerm &&
-    facts.lastRefusedMs > facts.lastServedSentMs &&
+    facts.lastRefusedMs > facts.lastServedRequestSentMs &&
     facts.nowMs - facts.lastRefusedMs <= REFUSED_WITHIN_MS
   );
 }
--- a/src/coordination/provisioning/cloudClient.ts
+++ b/src/coordination/provisioning/cloudClient.ts
@@ -47,8 +47,8 @@
 
 /**
  * The only component that calls the cloud. It keeps the rate limit, limits the calls in flight and backs off after
- * failures. An order whose outcome is unknown is retried under the same request name, its idempotency key, until the
- * cloud reports the outcome, so that no machine is created twice.
+ * failures. An order whose outcome is unknown is retried under the same idempotency key until the cloud reports the
+ * outcome, so that no machine is created twice.
  */
 export class CloudClient extends Actor<Message> implements CloudRequests {
   private readonly bucket: TokenBucket;
--- a/src/coordination/provisioning/openOrders.ts
+++ b/src/coordination/provisioning/openOrders.ts
@@ -5,14 +5,14 @@
 const MAX_OPEN_ORDERS = 4;
 const MAX_MACHINES_PER_ORDER = 50;
 
-/** Owns the open orders, those whose outcome the cloud has not reported yet, and assigns their request names. */
+/** Owns the open orders, those whose outcome the cloud has not reported yet, and assigns their idempotency keys. */
 export class OpenOrders {
   private readonly orders = new Map<string, ScaleOutOrder>();
   private lastRequestNumber = 0;
 
   constructor(private readonly currentTerm: () => number) {}
 
-  /** The open orders by request name. */
+  /** The open orders by idempotency key. */
   get byIdempotencyKey(): ReadonlyMap<string, ScaleOutOrder> {
     return this.orders;
   }
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Opens an order for the target, capped at the size of one order. Its request name is built from the term and a
-   * counter, so that no other controller or process ever uses it: the cloud answers a request name that it knows with
-   * the machines that it created for its first use.
+   * Opens an order for the target, capped at the size of one order. Its idempotency key is built from the term and a
+   * counter, so that no other controller or process ever uses it: the cloud answers an idempotency key that it knows
+   * with the machines that it created for the first use of the key.
    */
   open(target: ScaleOutTarget): ScaleOutOrder {
     const order: ScaleOutOrder = {
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -186,7 +186,7 @@
   const facts: ExtensionFacts = {
     nowMs: 10_000,
     hasReadLeadership: true,
-    lastServedSentMs: 8000,
+    lastServedRequestSentMs: 8000,
     lastRefusedMs: 9500,
     knownTerm: 3,
     requestedTerm: 3,
@@ -195,7 +195,7 @@
     ["refused recently", {}, true],
     ["restarted without a read since", { hasReadLeadership: false }, false],
     ["a later term is known", { knownTerm: 4 }, false],
-    ["served after the last refusal", { lastServedSentMs: 9600 }, false],
+    ["served after the last refusal", { lastServedRequestSentMs: 9600 }, false],
     ["refused too long ago", { lastRefusedMs: 8100 }, false],
     ["never refused", { lastRefusedMs: -Infinity }, false],
     ["only an earlier term is known", { knownTerm: 2 }, true],
--- a/test/fakes/controllers.ts
+++ b/test/fakes/controllers.ts
@@ -45,7 +45,7 @@
       stateStoreHttp: caller,
       cloudHttp: caller,
       workerHttp: caller,
-      peerPort: { send: (peer, frame) => send(this, peer, frame) },
+      peerSender: { send: (peer, frame) => send(this, peer, frame) },
       incarnation,
       random: options.random,
     });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -139,8 +139,8 @@
     }
   } else if (random.chance(0.5)) view.idleSinceMs = -random.below(60_000);
   view.victims = () => victims;
-  const freeInS = random.below(90);
-  view.timeUntilIdleS = () => freeInS;
+  const timeUntilIdleS = random.below(90);
+  view.timeUntilIdleS = () => timeUntilIdleS;
   return view;
 }
 
@@ -183,7 +183,7 @@
     stopping: view.stopping,
     reserved: view.reserved,
     fetching: view.fetching,
-    backlogGb: view.fetchBacklogGb,
+    fetchBacklogGb: view.fetchBacklogGb,
     fetchPriority: view.fetchPriority,
     victims: view.victims().map((victim) => victim.ref),
   }));
--- a/test/provisioning.test.ts
+++ b/test/provisioning.test.ts
@@ -9,8 +9,8 @@
 const SPOT: MachineKind = { type: "small", zone: "a", spot: true };
 const ON_DEMAND: MachineKind = { type: "small", zone: "a", spot: false };
 
-function order(request: string): ScaleOutOrder {
-  return { ...ON_DEMAND, count: 1, idempotencyKey: request };
+function order(idempotencyKey: string): ScaleOutOrder {
+  return { ...ON_DEMAND, count: 1, idempotencyKey };
 }
 
 test("the backoff of a refused kind of machine is 8 s and doubles with each refusal, up to 40 s", () => {
@@ -48,7 +48,7 @@
   );
 });
 
-test("an order holds at most 50 machines, at most four orders are open, and no request name is reused", () => {
+test("an order holds at most 50 machines, at most four orders are open, and no idempotency key is reused", () => {
   const orders = new OpenOrders(() => 7);
   const opened = [1, 2, 3, 4].map((count) => orders.open({ ...SPOT, count: count * 20 }));
   assert.deepEqual(
