--- a/src/bookkeeping/workload.ts
+++ b/src/bookkeeping/workload.ts
@@ -135,7 +135,7 @@
 
   /** Whether the job is finished and has no attempts left, so that its final record may be written. */
   get canFinalize(): boolean {
-    // The last members of a gang may still hold resources and quota when its result is known.
+    // The last members of a gang may still hold resources and quota when its result is known, so the job waits for them.
     return this.attempts.size === 0 && (this.isCancelled || this.isComplete);
   }
 
@@ -235,7 +235,7 @@
   /** Number of changes to the machine's free resources, images and stop requests. */
   revision = 0;
   /** Tasks listed in the newest heartbeat. */
-  listedTasks: TaskStatus[] = [];
+  reportedTasks: TaskStatus[] = [];
   /** Model of the worker's image cache. */
   readonly images = new ImageCache();
   /** Resources held by the machine's attempts. */
--- a/src/coordination/consolidation/consolidationSnapshot.ts
+++ b/src/coordination/consolidation/consolidationSnapshot.ts
@@ -10,7 +10,7 @@
 import { loadLevelOf, loadOf } from "./machineLoad.js";
 
 const MS_PER_S = 1000;
-/** Age of a machine's last heartbeat from which tasks that it lists may be gone. */
+/** Age of a machine's last heartbeat, in heartbeat intervals, from which tasks that it lists may be gone. */
 const MAX_HEARTBEAT_AGE_INTERVALS = 1.5;
 
 /** The state that a snapshot is built from. */
@@ -46,22 +46,25 @@
     const machines: MachineLoadSnapshot[] = [];
     for (const machine of this.context.machines.values()) {
       if (machine.state !== "up" || !machine.type) continue;
-      const requestedLoad = loadOf(machine.used, machine.type);
-      if (!this.isCandidate(machine, requestedLoad)) continue;
-      machines.push(this.snapshotMachine(machine, machine.type, requestedLoad));
+      const plannedLoad = loadOf(machine.used, machine.type);
+      if (!this.isCandidate(machine, plannedLoad)) continue;
+      machines.push(this.snapshotMachine(machine, machine.type, plannedLoad));
     }
     return { machines, attempts: this.attempts };
   }
 
-  /** Whether a round may empty or relieve the machine. Most machines are well loaded and run just the planned tasks. */
-  private isCandidate(machine: Machine, requestedLoad: number): boolean {
+  /**
+   * Whether a round may empty or relieve the machine. Most machines are left out, because they are well loaded and run
+   * no more than the planned tasks.
+   */
+  private isCandidate(machine: Machine, plannedLoad: number): boolean {
     return (
-      loadLevelOf(requestedLoad, this.context.operator.highLoadShare) === "low" ||
-      machine.listedTasks.length > machine.attempts.size
+      loadLevelOf(plannedLoad, this.context.operator.highLoadShare) === "low" ||
+      machine.reportedTasks.length > machine.attempts.size
     );
   }
 
-  private snapshotMachine(machine: Machine, type: MachineType, requestedLoad: number): MachineLoadSnapshot {
+  private snapshotMachine(machine: Machine, type: MachineType, plannedLoad: number): MachineLoadSnapshot {
     // With an outdated heartbeat, a round would move tasks that are already gone.
     let isSettled =
       this.nowMs - machine.lastContactMs < this.context.heartbeatS * (MAX_HEARTBEAT_AGE_INTERVALS * MS_PER_S);
@@ -76,14 +79,14 @@
       tasks,
       acceptsTasks: isSettled && !machine.isCordoned && machine.interruptionAtMs === null,
       reportedLoad: loadOf(this.reportedResources(machine), type),
-      plannedLoad: requestedLoad,
+      plannedLoad,
     };
   }
 
   /** The resources that the tasks in the machine's newest heartbeat request. */
   private reportedResources(machine: Machine): Resources {
     const used: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const task of machine.listedTasks) {
+    for (const task of machine.reportedTasks) {
       const spec = this.context.jobs.get(task.jobId)?.spec;
       if (task.phase === "exited" || !spec) continue;
       used.cpus += spec.cpus;
--- a/src/coordination/leadership/leaseExtension.ts
+++ b/src/coordination/leadership/leaseExtension.ts
@@ -9,7 +9,10 @@
 
 /** Duration of an extension, counted from its request. */
 export const EXTENSION_MS = 2000;
-/** A controller confirms an extension only if its last request to the state store failed at most this long ago. */
+/**
+ * A controller confirms an extension only if the state store refused it at most this long ago, and has served none of its
+ * requests sent after that refusal.
+ */
 const REFUSED_WITHIN_MS = 1500;
 
 /** The state of a controller that decides on an extension request. All times are steady. */
@@ -18,7 +21,7 @@
   /** True if this process has read the leadership keys at least once. */
   hasReadLeadership: boolean;
   /** When the last request that the state store served was sent; -Infinity if there is none. */
-  lastServedSentMs: number;
+  lastServedRequestSentMs: number;
   /** When a request last failed or was refused as unavailable; -Infinity if none was. */
   lastRefusedMs: number;
   /** The newest term that this controller knows. */
@@ -32,7 +35,7 @@
     // A restarted controller does not know the newest term before its first read.
     facts.hasReadLeadership &&
     facts.knownTerm <= facts.requestedTerm &&
-    facts.lastRefusedMs > facts.lastServedSentMs &&
+    facts.lastRefusedMs > facts.lastServedRequestSentMs &&
     facts.nowMs - facts.lastRefusedMs <= REFUSED_WITHIN_MS
   );
 }
--- a/src/coordination/machines/heartbeatProcessor.ts
+++ b/src/coordination/machines/heartbeatProcessor.ts
@@ -77,7 +77,10 @@
     return true;
   }
 
-  /** Returns true, and calls `onDeposed`, if the worker has seen a later term's fencing token: another leader has taken over. */
+  /**
+   * Returns true, and calls `onDeposed`, if the worker has seen a later term's fencing token: another leader has taken
+   * over.
+   */
   detectLaterTerm(heartbeat: Heartbeat): boolean {
     const { term } = this.context.lease;
     if (heartbeat.fencingToken < firstFencingToken(term + 1)) return false;
@@ -108,7 +111,7 @@
     machine.zone = heartbeat.zone;
     machine.spot = heartbeat.spot;
     machine.type = this.context.estimates.findType(heartbeat.type) ?? machine.type;
-    machine.listedTasks = heartbeat.tasks;
+    machine.reportedTasks = heartbeat.tasks;
     const wasUnusable =
       machine.state === "booting" || nowMs - machine.lastContactMs > this.context.suspectS * 1000;
     // The idle time starts when the machine becomes usable; time spent booting or silent does not count as idle.
--- a/src/coordination/machines/reconciliation.ts
+++ b/src/coordination/machines/reconciliation.ts
@@ -11,7 +11,10 @@
 import type { TermLease } from "../term/termLease.js";
 import type { Cordon } from "./cordon.js";
 
-/** Time for which a job avoids a machine on which one of its tasks failed, found no room, or was still in use. */
+/**
+ * Time for which a job avoids a machine on which one of its tasks failed, found no room, or did not start because another
+ * attempt of the task had not exited (`in_use`).
+ */
 const AVOID_AFTER_ERROR_MS = 60_000;
 const AVOID_NO_ROOM_MS = 2000;
 const AVOID_IN_USE_MS = 3000;
@@ -67,7 +70,7 @@
   /** Maps those of the machine's attempts that its newest heartbeat lists to their status. */
   private listedAttempts(machine: Machine): Map<Attempt, TaskStatus> {
     const listed = new Map<Attempt, TaskStatus>();
-    for (const status of machine.listedTasks) {
+    for (const status of machine.reportedTasks) {
       const attempt = this.context.jobs.get(status.jobId)?.attemptOf(status.task);
       if (attempt && attempt.number === status.attempt && attempt.machine === machine)
         listed.set(attempt, status);
@@ -102,7 +105,7 @@
    * produced it, but only while the task has no current attempt.
    */
   private applyOrphanedResults(machine: Machine): void {
-    for (const status of machine.listedTasks) {
+    for (const status of machine.reportedTasks) {
       if (status.phase !== "exited" || status.cause !== "done") continue;
       const job = this.context.jobs.get(status.jobId);
       if (job && !job.isDone(status.task) && !job.attemptOf(status.task))
--- a/test/election.test.ts
+++ b/test/election.test.ts
@@ -186,7 +186,7 @@
   const facts: ExtensionFacts = {
     nowMs: 10_000,
     hasReadLeadership: true,
-    lastServedSentMs: 8000,
+    lastServedRequestSentMs: 8000,
     lastRefusedMs: 9500,
     knownTerm: 3,
     requestedTerm: 3,
@@ -195,7 +195,7 @@
     ["refused recently", {}, true],
     ["restarted without a read since", { hasReadLeadership: false }, false],
     ["a later term is known", { knownTerm: 4 }, false],
-    ["served after the last refusal", { lastServedSentMs: 9600 }, false],
+    ["served after the last refusal", { lastServedRequestSentMs: 9600 }, false],
     ["refused too long ago", { lastRefusedMs: 8100 }, false],
     ["never refused", { lastRefusedMs: -Infinity }, false],
     ["only an earlier term is known", { knownTerm: 2 }, true],
@@ -230,7 +230,7 @@
   });
 
   const invalid: { name: string; overrides: Partial<Vote>; leadingTerm?: number }[] = [
-    { name: "an extension that is not granted", overrides: { isGranted: false } },
+    { name: "a vote that does not grant the extension", overrides: { isGranted: false } },
     { name: "a vote of a controller that is not a peer", overrides: { from: "n9" } },
     { name: "a vote for another request", overrides: { requestId: 99 } },
     { name: "a vote of another term", overrides: { term: TERM + 1 } },
@@ -274,7 +274,7 @@
     assert.equal(confirmation.earlierLeadershipExpiredFromMs, 200 + 3000 * 1.001 + 50);
   });
 
-  test("one extension, the drift of both clocks and a margin after it if leases are shorter than extensions", () => {
+  test("one extension, the drift of both clocks and a margin after that majority if leases are shorter than extensions", () => {
     const confirmation = new TermConfirmation(1, 500);
     assert.equal(confirmation.confirm("n0", 0), true);
     assert.equal(confirmation.earlierLeadershipExpiredFromMs, 2002 + 50);
